--- a/tests/coordination/distribution/test_receiver.py
+++ b/tests/coordination/distribution/test_receiver.py
@@ -1,7 +1,7 @@
 from dataclasses import replace
 from types import MappingProxyType
 
-from hypothesis import given, strategies as st
+from hypothesis import given, seed, strategies as st
 
 from ibisshunt.coordination.distribution.receiver import Received, Verdict, receive
 from ibisshunt.coordination.distribution.sender import Sender
@@ -30,6 +30,15 @@
 CHANGES = st.lists(st.tuples(st.integers(1, 4), st.booleans()), min_size=1, max_size=30)
 
 
+# Examples are drawn from this seed instead of the source text, so rewording keeps them.
+CONVERGENCE_SEED = int(
+    "d0550882b6f87c8ce56700ce4a6e751df08062514d442d92"
+    "acaad75aa1fab0098621a276440a933a361bc563ed58cbc0",
+    16,
+)
+
+
+@seed(CONVERGENCE_SEED)
 @given(CHANGES, st.data())
 def test_any_loss_doubling_and_order_never_lowers_and_always_converges(changes, data):
     # Updates of every base are lost, doubled and reordered on the way. The node must
@@ -52,6 +61,15 @@
     assert reception.received.configuration == sender.configuration
 
 
+# Examples are drawn from this seed instead of the source text, so rewording keeps them.
+FILTERED_WATCH_SEED = int(
+    "b2d5c34a876cf369f001717a4d7633f4e7e4f8b82245415d"
+    "b16963473ae517fdfd5e876cd1fd5901a6f02be7ab041627",
+    16,
+)
+
+
+@seed(FILTERED_WATCH_SEED)
 @given(CHANGES, st.sets(st.sampled_from(["b/s1", "b/s2", "b/s3"]), min_size=1))
 def test_a_filtered_watch_converges_to_its_own_services(changes, services):
     sender, received = Sender(max_removals=3), Received()
--- a/tests/coordination/flows/test_properties.py
+++ b/tests/coordination/flows/test_properties.py
@@ -2,7 +2,7 @@
 
 from unittest.mock import patch
 
-from hypothesis import settings, strategies as st
+from hypothesis import seed, settings, strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
     initialize,
@@ -25,6 +25,15 @@
 BUCKETS = 64
 
 
+# Examples are drawn from this seed instead of the source text, so rewording keeps them.
+FLOW_MACHINE_SEED = int(
+    "e10f31bfc3af00463f972e6b15029e2c738db9bf3394c80b"
+    "709bc070233e858ed4ee8e8fef22ff02adbef291ed8f179f",
+    16,
+)
+
+
+@seed(FLOW_MACHINE_SEED)
 class FlowMachine(RuleBasedStateMachine):
     """A flow that a target took reaches that target, whatever the nodes know.
 
--- a/tests/coordination/forwarding/placing/test_drained.py
+++ b/tests/coordination/forwarding/placing/test_drained.py
@@ -1,7 +1,7 @@
 """No new flow reaches a target of a drained failure domain, or a cold one too fast."""
 
 import pytest
-from hypothesis import settings, strategies as st
+from hypothesis import seed, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from msgspec.structs import replace
 
@@ -192,6 +192,15 @@
     assert make_key() in world.targets["10.0.2.0"].flows
 
 
+# Examples are drawn from this seed instead of the source text, so rewording keeps them.
+DOMAIN_MACHINE_SEED = int(
+    "710d7c3dc35d6ba36615ac31619a91f6fd83b91443368123"
+    "e0081c4cc09f758218e3469b8c29f97ec9c182bd76247207",
+    16,
+)
+
+
+@seed(DOMAIN_MACHINE_SEED)
 class DomainMachine(RuleBasedStateMachine):
     """Offer flows to one agent while orders, restarts and heartbeats come and go.
 
--- a/tests/coordination/records/test_store_properties.py
+++ b/tests/coordination/records/test_store_properties.py
@@ -1,6 +1,6 @@
 """Compare the record store with a plain model under random histories."""
 
-from hypothesis import strategies as st
+from hypothesis import seed, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from ibisshunt.coordination.records.snapshot import read_snapshot, take_snapshot
@@ -13,6 +13,15 @@
 AGE = st.integers(0, 2)
 
 
+# Examples are drawn from this seed instead of the source text, so rewording keeps them.
+RECORD_HISTORY_SEED = int(
+    "b96365621f8fa48ba82ac9f8c5cf45ebbf9747a318e8a94b"
+    "efd9dd57bacd5deb113a4e974ff87e459b76ef00084c84d0",
+    16,
+)
+
+
+@seed(RECORD_HISTORY_SEED)
 class RecordHistory(RuleBasedStateMachine):
     """Write, race, resend, compact; a replica replays or restores on its own."""
 
--- a/tests/coordination/requests/test_ledger_properties.py
+++ b/tests/coordination/requests/test_ledger_properties.py
@@ -1,7 +1,7 @@
 from random import Random
 
 import pytest
-from hypothesis import given, strategies as st
+from hypothesis import given, seed, strategies as st
 
 from ibisshunt.coordination.requests.holders import count_domains
 from tests.coordination.requests.ledger_cluster import Cluster
@@ -53,6 +53,15 @@
     actions[name]()
 
 
+# Examples are drawn from this seed instead of the source text, so rewording keeps them.
+AT_MOST_ONCE_SEED = int(
+    "aa110f7f405b2a065ad788c5f744c37bad15f53af100da9b"
+    "6ee39ab5e47eb575fc2cda93bb4bd5119ee5df3ac25f5eb3",
+    16,
+)
+
+
+@seed(AT_MOST_ONCE_SEED)
 @given(OPERATIONS, st.integers(2, 3))
 def test_a_key_starts_at_most_once_and_no_one_is_told_a_lie(operations, domains):
     # Callers send and resend a few keys through any agent, while messages are lost,
@@ -68,6 +77,15 @@
         cluster.finish(0)
 
 
+# Examples are drawn from this seed instead of the source text, so rewording keeps them.
+REOPENING_SEED = int(
+    "95c073a591a2917b968da33655f772953cb842122dd81582"
+    "8f4b759bd20dc0982236174c843e5137f566c900858f0c38",
+    16,
+)
+
+
+@seed(REOPENING_SEED)
 @given(OPERATIONS)
 def test_each_agent_opens_again_once_the_cluster_is_at_rest(operations):
     # Safeguards that close a holder must not close it for good: after the changes
--- a/tests/coordination/versions/test_domains.py
+++ b/tests/coordination/versions/test_domains.py
@@ -1,6 +1,6 @@
 """Orders for failure domains keep their order, whatever copies come late."""
 
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, seed, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from msgspec import msgpack
 
@@ -85,6 +85,15 @@
     assert copy.domains.find_revision("moin-a") == 2
 
 
+# Examples are drawn from this seed instead of the source text, so rewording keeps them.
+OPERATORS_MACHINE_SEED = int(
+    "7fa8ae60031891708fed90c4c0654f2a7b3736469c31363d"
+    "d510c23606913a2da5fa7972486ceef46fe212c4034e0be7",
+    16,
+)
+
+
+@seed(OPERATORS_MACHINE_SEED)
 class OperatorsMachine(RuleBasedStateMachine):
     """Let one operator order, and the copies of its orders come at any later time.
 
