--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Show how to embed the coordination library."""
+"""Embed the coordination library in programs of one's own."""
--- a/examples/flow_proxy.py
+++ b/examples/flow_proxy.py
@@ -1,8 +1,8 @@
-"""Keep established flows on their target in the embedder's own proxy.
+"""Keep established flows on their target in a proxy that embeds the library.
 
-Run ``python -m examples.flow_proxy``: flows open through two entry points that keep no
-state of any flow, a target is drained, and every flow goes on at the target that has
-it while new ones go elsewhere. Nothing here needs gevent or gRPC.
+Run ``python -m examples.flow_proxy``: flows open through two routers that keep no
+per-flow state, a target is drained, and every flow continues at the target that holds
+it while new ones are placed on other targets. The example needs no gevent or gRPC.
 """
 
 import struct
@@ -32,9 +32,9 @@
 
 
 def make_target(number: int) -> Target:
-    """Return a target; its agent takes packets at the given port."""
+    """Return a target whose agent receives packets at port 20000 + ``number``."""
     address = Address("127.0.0.1", 20_000 + number)
-    announced = Announcement(
+    announcement = Announcement(
         SERVICE.business,
         SERVICE.name,
         f"booking-{number}",
@@ -45,74 +45,74 @@
         streams=address,
         tunnel=address,
     )
-    return Target(announced, number, TargetState.READY, warm_deadline=0.0)
+    return Target(announcement, number, TargetState.READY, warm_deadline=0.0)
 
 
 def make_packet(port: int, flags: int) -> bytes:
     """Return an IPv4 packet with an empty TCP segment."""
-    source, service = b"\x7f\x03\x00\x01", b"\x7f\x01\x00\x01"
-    ip = struct.pack("!BBHHHBBH4s4s", 0x45, 0, 40, 0, 0, 64, 6, 0, source, service)
+    source, destination = b"\x7f\x03\x00\x01", b"\x7f\x01\x00\x01"
+    ip = struct.pack("!BBHHHBBH4s4s", 0x45, 0, 40, 0, 0, 64, 6, 0, source, destination)
     return ip + struct.pack("!HHIIBBHHH", port, 443, 1, 1, 0x50, flags, 1024, 0, 0)
 
 
 class Proxy:
-    """Own two stateless entry points and one flow owner beside each target."""
+    """Own two stateless routers and one flow owner per target."""
 
     def __init__(self, targets: list[Target]) -> None:
         self.now = 1000.0
-        self.entries = (Router(), Router())
-        self.names = {
+        self.routers = (Router(), Router())
+        self.targets = {
             target.announcement.packets.as_pair(): target for target in targets
         }
-        self.owners = {pair: FlowOwner(1000, self.now) for pair in self.names}
-        self.put_in_force(targets, revision=1)
-        # A flow owner that starts leaves its peers a moment to name older flows.
+        self.owners = {pair: FlowOwner(1000, self.now) for pair in self.targets}
+        self.publish(targets, revision=1)
+        # A flow owner that starts waits until its peers have advertised older flows.
         self.now += 2 * SERVICE.idle_timeout_ms / 1000
 
-    def put_in_force(self, targets: list[Target], revision: int) -> None:
-        """Give all nodes the targets; they need not take them at the same moment."""
-        part = ServiceSlice(SERVICE, tuple(targets), revision)
-        for entry in self.entries:
-            entry.update(Configuration(revision, {part.number: part}), self.now)
-        table = ServiceTable(part, self.now)
+    def publish(self, targets: list[Target], revision: int) -> None:
+        """Give all nodes the targets; on real nodes this need not happen at once."""
+        slice_ = ServiceSlice(SERVICE, tuple(targets), revision)
+        for router in self.routers:
+            router.update(Configuration(revision, {slice_.number: slice_}), self.now)
+        table = ServiceTable(slice_, self.now)
         for pair, owner in self.owners.items():
-            owner.update(table, self.names[pair].incarnation, self.now)
-            for _ in owner.hand_over(everything=False):
+            owner.update(table, self.targets[pair].incarnation, self.now)
+            for _ in owner.advertise_flows(to_backups=False):
                 pass
-            self.carry_notices(owner)
+            self.deliver_notices(owner)
 
-    def send(self, packet: bytes, entry: int) -> str:
-        """Follow a packet to the target that gets it and return the target's name."""
-        pair, head = self.entries[entry].route(packet, self.now)
+    def send(self, packet: bytes, router: int) -> str:
+        """Route a packet; return the name of the target reached, or a reason."""
+        pair, head = self.routers[router].route(packet, self.now)
         header, _ = read_datagram(head + packet).unwrap()
         key, bits = scan_packet(packet)
         while True:
             action = self.owners[pair].handle(header, key, bits, self.now)
-            self.carry_notices(self.owners[pair])
+            self.deliver_notices(self.owners[pair])
             if action.kind is not ActionKind.FORWARD:
                 delivered = action.kind is ActionKind.DELIVER
-                return self.names[pair].name if delivered else action.reason
-            pair, header = action.pair, action.header
+                return self.targets[pair].name if delivered else action.reason
+            pair, header = action.socket_address, action.header
 
-    def carry_notices(self, owner: FlowOwner) -> None:
-        """Deliver what flow owners tell each other; a loss costs hops, not flows."""
+    def deliver_notices(self, owner: FlowOwner) -> None:
+        """Deliver the notices of a flow owner to its peers; a loss costs extra hops."""
         for notice in owner.take_notices():
             header, payload = read_datagram(notice.data).unwrap()
-            self.owners[notice.pair].receive(header, payload, self.now)
+            self.owners[notice.socket_address].receive(header, payload, self.now)
 
 
 def main() -> None:
-    """Open flows, drain a target and send on."""
+    """Open flows, drain a target and continue the flows through the other router."""
     targets = [make_target(number) for number in range(1, 5)]
     proxy = Proxy(targets)
     flows = {port: proxy.send(make_packet(port, SYN), 0) for port in range(3000, 3200)}
     drained = replace(targets[0], state=TargetState.LEAVING)
-    proxy.put_in_force([drained, *targets[1:]], revision=2)
-    after = {port: proxy.send(make_packet(port, ACK), 1) for port in flows}
-    fresh = [proxy.send(make_packet(port, SYN), 1) for port in range(4000, 4200)]
-    broken = sum(after[port] != taker for port, taker in flows.items())
+    proxy.publish([drained, *targets[1:]], revision=2)
+    targets_after = {port: proxy.send(make_packet(port, ACK), 1) for port in flows}
+    new_flows = [proxy.send(make_packet(port, SYN), 1) for port in range(4000, 4200)]
+    broken = sum(targets_after[port] != target for port, target in flows.items())
     print(f"flows={len(flows)} on_drained={list(flows.values()).count(drained.name)}")
-    print(f"broken={broken} new_on_drained={fresh.count(drained.name)}")
+    print(f"broken={broken} new_on_drained={new_flows.count(drained.name)}")
 
 
 if __name__ == "__main__":
--- a/examples/replicated_store.py
+++ b/examples/replicated_store.py
@@ -1,7 +1,7 @@
-"""Replicate a record store over the embedder's own transport, disk and clock.
+"""Replicate a record store over a transport, disk and clock of one's own.
 
 Run ``python -m examples.replicated_store``: three hosts elect a leader, accept a
-record, lose the leader and accept another one. Nothing here needs gevent or gRPC.
+record, lose the leader and accept another one. The example needs no gevent or gRPC.
 """
 
 import json
@@ -24,31 +24,31 @@
 class Host:
     """Own the state, disk and store of one host."""
 
-    def __init__(self, name: str, draw: random.Random) -> None:
+    def __init__(self, name: str, rng: random.Random) -> None:
         self.name = name
         self.state = consensus.make_state(
-            name, consensus.ConsensusSettings(), draw.random, now=0.0
+            name, consensus.ConsensusSettings(), rng.random, now=0.0
         )
         self.store = RecordStore()
         self.disk: list[object] = []
         self.applied = 0
 
     def step(self, event: object, now: float, network: deque) -> None:
-        """Take one event and carry out, in this order, what it asks for."""
+        """Handle one event and execute its outputs in this order."""
         consensus.handle(self.state, event, now)
         while (out := consensus.collect(self.state, now)) != consensus.Outputs():
-            # On real hosts: write these to a file, and fsync it before the promises.
-            self.disk += [out.hard, *out.entries]
+            # On a real host: write these to a file and fsync it before the second send.
+            self.disk += [out.hard_state, *out.entries]
             network.extend(out.messages)
             log = self.state.log
             synced = consensus.Synced(log.last_index, log.last_term)
             consensus.handle(self.state, synced, now)
-            network.extend(out.promises)
+            network.extend(out.messages_after_sync)
             self.apply()
 
     def apply(self) -> None:
-        """Apply what is committed: the same commands in the same order everywhere."""
-        while self.applied < self.state.commit:
+        """Apply the committed commands, in the same order on every host."""
+        while self.applied < self.state.commit_index:
             self.applied += 1
             entry = self.state.log.get(self.applied)
             if entry.kind is consensus.EntryKind.COMMAND:
@@ -57,19 +57,19 @@
 
 
 class Cluster:
-    """Carry envelopes between hosts; a real transport may lose and reorder them."""
+    """Deliver envelopes between hosts; a real transport may lose and reorder them."""
 
     def __init__(self) -> None:
-        draw = random.Random(1)
-        self.hosts = {name: Host(name, draw) for name in NAMES}
+        rng = random.Random(1)
+        self.hosts = {name: Host(name, rng) for name in NAMES}
         self.network: deque = deque()
         self.now = 0.0
         members = tuple(consensus.Member(name, "", voter=True) for name in NAMES)
-        found = consensus.Found("cluster-1", consensus.Membership(members))
-        self.step(self.hosts[NAMES[0]], found)
+        event = consensus.BootstrapCluster("cluster-1", consensus.Membership(members))
+        self.step(self.hosts[NAMES[0]], event)
 
     def step(self, host: Host, event: object) -> None:
-        """Give one event to a host and deliver what follows from it."""
+        """Pass one event to a host and deliver all resulting messages."""
         host.step(event, self.now, self.network)
         while self.network:
             envelope = self.network.popleft()
@@ -77,7 +77,7 @@
                 receiver.step(consensus.Received(envelope), self.now, self.network)
 
     def wait_for_leader(self) -> Host:
-        """Let time go on until one host leads."""
+        """Advance the clock until a host is leader; raise SystemExit after 20 s."""
         for _ in range(400):
             self.now += TICK_SECONDS
             for host in list(self.hosts.values()):
@@ -88,19 +88,19 @@
         raise SystemExit("no leader was elected")
 
 
-def change(operation: str, record: dict) -> bytes:
+def make_change(operation: str, record: dict) -> bytes:
     """Return the command that puts one record."""
     parsed = parse_document(json.dumps(record)).unwrap()
     return encode_command(ChangeRecords(operation, "", True, 1000.0, (parsed,)))
 
 
 def main() -> None:
-    """Accept two records around the loss of the leader."""
+    """Put one record before and one after the loss of the leader."""
     cluster = Cluster()
     for operation, name in enumerate(("marea", "kai-heap")):
         leader = cluster.wait_for_leader()
         record = {"kind": "business", "schema": 1, "name": name}
-        command = change(str(operation), record)
+        command = make_change(str(operation), record)
         cluster.step(leader, consensus.Propose(operation, command))
         cluster.wait_for_leader()
         if operation == 0:
--- a/ibisshunt/__init__.py
+++ b/ibisshunt/__init__.py
@@ -1,3 +1,3 @@
-"""Balance layer-4 flows over targets that announce themselves."""
+"""Balance layer-4 flows across targets that register themselves."""
 
 __version__ = "0.1.0"
--- a/ibisshunt/cli/__init__.py
+++ b/ibisshunt/cli/__init__.py
@@ -1,7 +1,7 @@
-"""Hold the command line of each program.
+"""Command line of each program.
 
-Importing this package makes the standard library and gRPC cooperate with gevent,
-which has to happen before any of them opens a socket.
+Importing this package patches the standard library and gRPC for gevent. This must
+happen before either opens a socket.
 """
 
 from gevent import monkey
--- a/ibisshunt/cli/agent.py
+++ b/ibisshunt/cli/agent.py
@@ -6,7 +6,7 @@
 
 main = make_command(
     "ibisshunt-agent",
-    "Own the flows and requests of the target on this host.",
+    "Manage the flows and requests of the target on this host.",
     AGENT,
     set_up_agent,
 )
--- a/ibisshunt/cli/client.py
+++ b/ibisshunt/cli/client.py
@@ -1,4 +1,4 @@
-"""Call control from the command line."""
+"""Call control hosts from the command line."""
 
 import sys
 from typing import Any
@@ -14,8 +14,8 @@
 from ..settings import TlsSettings
 
 
-def read_addresses(texts: tuple[str, ...]) -> tuple[Address, ...]:
-    """Return the addresses of the control hosts; exit with 2 when one is wrong."""
+def parse_addresses(texts: tuple[str, ...]) -> tuple[Address, ...]:
+    """Parse the addresses of the control hosts; exit with 2 if one is malformed."""
     addresses = []
     for text in texts:
         result = parse_address(text)
@@ -32,19 +32,19 @@
     request: Any,
     tls: TlsSettings | None = None,
 ) -> Any:
-    """Return the reply of the first control host that answers.
+    """Return the reply of the first host that answers; exit with 1 if none does.
 
-    The same request goes to the next host after a lost answer; a change carries its
-    operation id, so that a resend is not applied twice.
+    After an RPC error the same request is sent to the next host. A change has an
+    operation id, so that a retry is not applied twice.
     """
-    error: RpcError | None = None
+    last_error: RpcError | None = None
     for address in addresses:
         channel = Channel(address, make_channel_credentials(tls))
         try:
             return channel.call(method, request)
-        except RpcError as caught:
-            error = caught
+        except RpcError as error:
+            last_error = error
         finally:
             channel.close()
-    click.echo(str(error), err=True)
+    click.echo(str(last_error), err=True)
     sys.exit(EXIT_FAILURE)
--- a/ibisshunt/cli/control.py
+++ b/ibisshunt/cli/control.py
@@ -6,7 +6,7 @@
 
 main = make_command(
     "ibisshunt-control",
-    "Keep the records and tell every node of them.",
+    "Store the records and distribute them to every node.",
     CONTROL,
     set_up_control,
 )
--- a/ibisshunt/cli/demo.py
+++ b/ibisshunt/cli/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole path once on this machine and tell what happened."""
+"""Run a complete system on this machine, with traffic, and report the outcome."""
 
 import json
 import random
@@ -17,7 +17,7 @@
     TrafficSummary,
     drive_flows,
     fetch_page,
-    post_once,
+    post_with_key,
 )
 from ..const import EXIT_FAILURE, EXIT_OK
 from ..core import Kernel
@@ -27,15 +27,15 @@
 from ..protocol.messages import APPLY, STATUS, ApplyRequest, StatusRequest
 from ..protocol.rpc import Channel
 from ..settings import STANDALONE, StandaloneSettings
-from .process import read_or_exit, set_up_logging
+from .process import read_settings_or_exit, set_up_logging
 from .records import read_documents
 
-READY_SECONDS = 20.0
+READY_TIMEOUT_SECONDS = 20.0
 DEMO_KEY = "demo-swap-1"
 
 
 def start_endpoints(settings: StandaloneSettings) -> list[Endpoint]:
-    """Start a stand-in endpoint for the target of each agent."""
+    """Start a simulated endpoint for the target of each agent."""
     return [
         Endpoint(
             agent.target.service,
@@ -48,12 +48,15 @@
     ]
 
 
-def wait_until_in_force(channel: Channel, targets: int) -> None:
-    """Wait until every target is announced and every node has the revision."""
-    with gevent.Timeout(READY_SECONDS, TimeoutError("not in force in time")):
+def wait_until_active(channel: Channel, targets: int) -> None:
+    """Wait until every target is announced and every node has the latest revision."""
+    with gevent.Timeout(
+        READY_TIMEOUT_SECONDS,
+        TimeoutError("configuration not active on every node in time"),
+    ):
         while True:
             status = channel.call(STATUS, StatusRequest())
-            lagging = [n for n in status.nodes if n.revision < status.revision]
+            lagging = [node for node in status.nodes if node.revision < status.revision]
             if len(status.targets) == targets and status.nodes and not lagging:
                 return
             gevent.sleep(0.1)
@@ -66,24 +69,24 @@
 
 def list_services(documents: tuple[str, ...]) -> list[ServiceAddress]:
     """Return the services among the records."""
-    found = [json.loads(document) for document in documents]
-    services = [record for record in found if record["kind"] == "service"]
+    parsed = [json.loads(document) for document in documents]
+    services = [record for record in parsed if record["kind"] == "service"]
     return [
-        ServiceAddress(record["name"], Address(place["address"], place["port"]))
+        ServiceAddress(record["name"], Address(listen["address"], listen["port"]))
         for record in services
-        for place in [record.get("listen", record)]
+        for listen in [record.get("listen", record)]
     ]
 
 
 def run_demo(
     settings: StandaloneSettings, documents: tuple[str, ...], flows: int
 ) -> list[TrafficSummary]:
-    """Apply the records, send traffic over both intakes and return what happened."""
+    """Apply the records, send HTTP requests and flows; return a summary per service."""
     channel = Channel(settings.control[0].rpc)
     reply = channel.call(APPLY, ApplyRequest("demo", documents))
     for outcome in reply.outcomes:
         show_progress(f"record {outcome.name}: {outcome.error or 'accepted'}")
-    wait_until_in_force(channel, len(settings.agents))
+    wait_until_active(channel, len(settings.agents))
     show_progress("configuration in force on every node")
     balancers = [balancer.packets for balancer in settings.balancers]
     fabric = Fabric(settings.agents[0].replies, balancers, random.Random(1).choice)
@@ -100,30 +103,30 @@
     return summaries
 
 
-def confirm_twice(service: ServiceAddress, endpoints: list[Endpoint]) -> bool:
-    """Send one non-idempotent request twice; return whether it ran once."""
-    before = count_requests(service, endpoints)
-    answers = [post_once(service.address, "/swap", DEMO_KEY) for _ in range(2)]
-    ran = count_requests(service, endpoints) - before
-    show_progress(f"{service.name}: one key sent twice ran {ran} time(s)")
-    return ran == 1 and answers[0] == answers[1]
+def check_idempotency(service: ServiceAddress, endpoints: list[Endpoint]) -> bool:
+    """Send a non-idempotent request twice with one key; return whether it ran once."""
+    count_before = count_requests(service, endpoints)
+    answers = [post_with_key(service.address, "/swap", DEMO_KEY) for _ in range(2)]
+    run_count = count_requests(service, endpoints) - count_before
+    show_progress(f"{service.name}: one key sent twice ran {run_count} time(s)")
+    return run_count == 1 and answers[0] == answers[1]
 
 
 def count_requests(service: ServiceAddress, endpoints: list[Endpoint]) -> int:
     """Return how many requests the targets of a service have run."""
-    mine = [endpoint for endpoint in endpoints if endpoint.service == service.name]
-    return sum(endpoint.counts["requests"] for endpoint in mine)
+    targets = [endpoint for endpoint in endpoints if endpoint.service == service.name]
+    return sum(endpoint.counts["requests"] for endpoint in targets)
 
 
 def print_summary(summaries: list[TrafficSummary]) -> bool:
-    """Print what happened; return whether nothing was broken or went astray."""
+    """Print the summaries; return whether no flow was broken or misrouted."""
     click.echo("\nservice     flows answers broken wrong  targets")
-    for found in summaries:
+    for summary in summaries:
         click.echo(
-            f"{found.service:<11} {found.flows:>5} {found.answers:>7} "
-            f"{found.broken:>6} {found.wrong:>5}  {found.by_target}"
+            f"{summary.service:<11} {summary.flows:>5} {summary.answers:>7} "
+            f"{summary.broken:>6} {summary.misrouted:>5}  {summary.by_target}"
         )
-    return not any(found.broken or found.wrong for found in summaries)
+    return not any(summary.broken or summary.misrouted for summary in summaries)
 
 
 @click.command()
@@ -133,8 +136,8 @@
 @click.option("--keep", is_flag=True, help="Leave the system running.")
 @click.option("--verbose", is_flag=True, help="Show the log.")
 def main(path: Path, records: Path, flows: int, keep: bool, verbose: bool) -> None:
-    """Run the whole path on this machine."""
-    settings = read_or_exit(path, STANDALONE)
+    """Run a complete system on this machine and send traffic through it."""
+    settings = read_settings_or_exit(path, STANDALONE)
     documents = read_documents(records)
     set_up_logging(verbose)
     if not verbose:
@@ -148,8 +151,8 @@
         set_up_standalone(kernel, settings)
         show_progress(f"started {len(settings.agents)} agents beside stand-in targets")
         summaries = run_demo(settings, documents, flows)
-        once = confirm_twice(list_services(documents)[0], endpoints)
-        good = print_summary(summaries) and once
+        is_idempotent = check_idempotency(list_services(documents)[0], endpoints)
+        is_successful = print_summary(summaries) and is_idempotent
     except (IbisshuntError, OSError, TimeoutError) as error:
         click.echo(f"demo: failed: {error}", err=True)
         sys.exit(EXIT_FAILURE)
@@ -158,14 +161,14 @@
     kernel.stop()
     for endpoint in endpoints:
         endpoint.close()
-    click.echo("demo: done, nothing broken" if good else "demo: FAILED")
-    sys.exit(EXIT_OK if good else EXIT_FAILURE)
+    click.echo("demo: done, nothing broken" if is_successful else "demo: FAILED")
+    sys.exit(EXIT_OK if is_successful else EXIT_FAILURE)
 
 
 def keep_running(
     kernel: Kernel, settings: StandaloneSettings, documents: tuple[str, ...]
 ) -> None:
-    """Print the commands to try and wait for an interrupt."""
+    """Print commands to try and run until interrupted."""
     click.echo("\nrunning; try in another terminal, and stop with ctrl-c:")
     for service in list_services(documents):
         click.echo(f"  curl http://{service.address}/hello")
--- a/ibisshunt/cli/operator.py
+++ b/ibisshunt/cli/operator.py
@@ -12,18 +12,18 @@
 from ..components.load import load
 from ..const import EXIT_FAILURE
 from ..programs import set_up_standalone
-from ..protocol.codec import to_plain
+from ..protocol.codec import to_json_value
 from ..protocol.messages import (
     STATUS,
     StatusReply,
     StatusRequest,
 )
 from ..settings import AGENT, BALANCER, CONTROL, STANDALONE, TlsSettings
-from .client import call_control, read_addresses
-from .process import make_command, read_or_exit
+from .client import call_control, parse_addresses
+from .process import make_command, read_settings_or_exit
 from .records import COMMANDS
 
-KINDS = {
+SETTINGS_VALIDATORS = {
     "balancer": BALANCER,
     "agent": AGENT,
     "control": CONTROL,
@@ -54,13 +54,13 @@
 def main(context: click.Context, hosts: tuple[str, ...], token: str, tls: Any) -> None:
     """Operate an ibisshunt system."""
     context.obj = {
-        "addresses": read_addresses(hosts),
+        "addresses": parse_addresses(hosts),
         "token": token,
         "tls": TlsSettings(*tls) if tls else None,
     }
 
 
-def _call(context: click.Context, method: Any, request: Any) -> Any:
+def _send_request(context: click.Context, method: Any, request: Any) -> Any:
     return call_control(context.obj["addresses"], method, request, context.obj["tls"])
 
 
@@ -68,10 +68,10 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.pass_context
 def status(context: click.Context, as_json: bool) -> None:
-    """Show services, targets, flows and the revision in force on each node."""
-    reply: StatusReply = _call(context, STATUS, StatusRequest())
+    """Show services, targets, flows and the revision active on each node."""
+    reply: StatusReply = _send_request(context, STATUS, StatusRequest())
     if as_json:
-        click.echo(json.dumps(to_plain(reply), indent=1))
+        click.echo(json.dumps(to_json_value(reply), indent=1))
         return
     click.echo(f"revision {reply.revision} leader {reply.leader}")
     for host in reply.unreachable:
@@ -106,11 +106,11 @@
 
 
 @main.command()
-@click.argument("kind", type=click.Choice(sorted(KINDS)))
+@click.argument("kind", type=click.Choice(sorted(SETTINGS_VALIDATORS)))
 @click.argument("path", type=click.Path(path_type=Path))
 def check(kind: str, path: Path) -> None:
-    """Check a settings file; exit with 2 and name the key when it is wrong."""
-    read_or_exit(path, KINDS[kind])
+    """Check a settings file; exit with 2 and name the key when it is invalid."""
+    read_settings_or_exit(path, SETTINGS_VALIDATORS[kind])
     click.echo(f"{path}: ok")
 
 
--- a/ibisshunt/cli/process.py
+++ b/ibisshunt/cli/process.py
@@ -1,4 +1,4 @@
-"""Run a program until it is asked to stop."""
+"""Run a program until a stop is requested."""
 
 import signal
 import sys
@@ -18,15 +18,15 @@
 
 
 def set_up_logging(verbose: bool) -> None:
-    """Send one line an event to standard error."""
+    """Log one line per event to standard error."""
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(logging.DEBUG if verbose else logging.INFO)
     logging.set_stderrthreshold(logging.DEBUG)
 
 
-def read_or_exit(path: Path, validate: Any) -> Any:
-    """Return the settings; print the fault and exit with 2 when they are wrong."""
+def read_settings_or_exit(path: Path, validate: Any) -> Any:
+    """Read the settings; if they are invalid, print the error and exit with 2."""
     try:
         return read_settings(path, validate)
     except SettingsError as error:
@@ -57,7 +57,7 @@
 def make_command(
     program: str, doc: str, validate: Any, set_up: Callable[[Kernel, Any], None]
 ) -> click.Command:
-    """Return the command of a daemon."""
+    """Return the command that runs a program; ``doc`` is its help text."""
 
     @click.command(name=program, help=doc)
     @click.option(
@@ -70,7 +70,7 @@
     @click.option("--check", is_flag=True, help="Check the settings and exit.")
     @click.option("--verbose", is_flag=True, help="Log debug events too.")
     def run(path: Path, check: bool, verbose: bool) -> None:
-        settings = read_or_exit(path, validate)
+        settings = read_settings_or_exit(path, validate)
         if check:
             click.echo(f"{path}: ok")
             return
--- a/ibisshunt/cli/records.py
+++ b/ibisshunt/cli/records.py
@@ -1,4 +1,4 @@
-"""Write and read records from the command line."""
+"""Change and show records from the command line."""
 
 import difflib
 import json
@@ -14,9 +14,9 @@
 import json5
 
 from ..const import EXIT_BAD_INPUT, EXIT_FAILURE, IN_FORCE_SECONDS
-from ..coordination.distribution.progress import Progress, judge_progress
-from ..coordination.records.history import Entry
-from ..protocol.codec import to_plain
+from ..coordination.distribution.progress import RolloutProgress, evaluate_rollout
+from ..coordination.records.history import HistoryEntry
+from ..protocol.codec import to_json_value
 from ..protocol.messages import (
     APPLY,
     LIST,
@@ -32,11 +32,11 @@
 from ..protocol.records import HISTORY, HistoryReply, HistoryRequest
 from .client import call_control
 
-POLL_SECONDS: Final = 0.2
-WAIT = click.option(
+POLL_INTERVAL_SECONDS: Final = 0.2
+WAIT_OPTION = click.option(
     "--wait", is_flag=True, help="Return when the change is in force on every node."
 )
-TIMEOUT = click.option(
+TIMEOUT_OPTION = click.option(
     "--timeout",
     default=IN_FORCE_SECONDS,
     show_default=True,
@@ -45,32 +45,36 @@
 )
 
 
-def call(context: click.Context, method: Any, request: Any) -> Any:
-    """Return the reply of control; exit with 1 when no host answers."""
+def send_request(context: click.Context, method: Any, request: Any) -> Any:
+    """Return the reply of a control host; exit with 1 if none answers."""
     return call_control(context.obj["addresses"], method, request, context.obj["tls"])
 
 
 def read_documents(path: Path) -> tuple[str, ...]:
-    """Return one JSON text a record; exit with 2 when the file cannot be read."""
+    """Return one JSON text per record; exit with 2 if the file cannot be read."""
     try:
-        found = json5.loads(path.read_text())
+        parsed = json5.loads(path.read_text())
     except (OSError, ValueError) as error:
         click.echo(f"read records with {path}: {error}", err=True)
         sys.exit(EXIT_BAD_INPUT)
-    documents = found if isinstance(found, list) else [found]
+    documents = parsed if isinstance(parsed, list) else [parsed]
     return tuple(json.dumps(document) for document in documents)
 
 
 def apply_documents(
     context: click.Context, documents: tuple[str, ...], operation: str = ""
 ) -> int:
-    """Apply the documents and print the outcomes; return the revision."""
+    """Apply the documents and print the outcomes; return the revision.
+
+    ``operation`` is the id of the operation to retry, empty for a new operation.
+    """
     operation = operation or uuid.uuid4().hex
     request = ApplyRequest(operation, documents, context.obj["token"])
     try:
-        reply: ApplyReply = call(context, APPLY, request)
+        reply: ApplyReply = send_request(context, APPLY, request)
     except SystemExit:
-        # The change may have been accepted all the same. The same id cannot run twice.
+        # The change may have been accepted although no reply was received. A retry with
+        # the same operation id is not applied twice.
         click.echo(f"to send it again: --operation {operation}", err=True)
         raise
     for outcome in reply.outcomes:
@@ -81,26 +85,33 @@
     return reply.revision
 
 
-def wait_until_in_force(context: click.Context, revision: int, timeout: float) -> None:
-    """Return when every node has the revision; name who lags and exit with 1."""
+def wait_until_active(context: click.Context, revision: int, timeout: float) -> None:
+    """Wait until every node has the revision.
+
+    After ``timeout`` seconds, print the nodes that lag and exit with 1.
+    """
     deadline = time.monotonic() + timeout
     while True:
-        status: StatusReply = call(context, STATUS, StatusRequest())
-        progress = judge_progress(status.nodes, revision)
+        status: StatusReply = send_request(context, STATUS, StatusRequest())
+        progress = evaluate_rollout(status.nodes, revision)
         if progress.is_complete and not status.unreachable:
-            click.echo(f"revision {revision} in force on {len(progress.level)} nodes")
+            click.echo(
+                f"revision {revision} in force on {len(progress.up_to_date)} nodes"
+            )
             return
         if time.monotonic() >= deadline:
             break
-        gevent.sleep(POLL_SECONDS)
-    for line in describe_lag(progress, status.unreachable):
+        gevent.sleep(POLL_INTERVAL_SECONDS)
+    for line in describe_lagging_nodes(progress, status.unreachable):
         click.echo(line, err=True)
     click.echo(f"revision {revision} not in force everywhere", err=True)
     sys.exit(EXIT_FAILURE)
 
 
-def describe_lag(progress: Progress, unreachable: tuple[str, ...]) -> Iterator[str]:
-    """Yield a line for each node that lags and each host that does not answer."""
+def describe_lagging_nodes(
+    progress: RolloutProgress, unreachable: tuple[str, ...]
+) -> Iterator[str]:
+    """Yield a line for each lagging node and each unreachable control host."""
     for node in progress.lagging:
         yield f"node {node} lags"
     for node in progress.silent:
@@ -112,8 +123,8 @@
 @click.command()
 @click.argument("path", type=click.Path(path_type=Path))
 @click.option("--operation", default="", help="The id of an operation to send again.")
-@WAIT
-@TIMEOUT
+@WAIT_OPTION
+@TIMEOUT_OPTION
 @click.pass_context
 def apply(
     context: click.Context, path: Path, operation: str, wait: bool, timeout: float
@@ -121,7 +132,7 @@
     """Apply the records in a JSON file, all or none."""
     revision = apply_documents(context, read_documents(path), operation)
     if wait:
-        wait_until_in_force(context, revision, timeout)
+        wait_until_active(context, revision, timeout)
 
 
 @click.command()
@@ -129,8 +140,8 @@
 @click.argument("service")
 @click.argument("target")
 @click.option("--undo", is_flag=True, help="Let the target take new work again.")
-@WAIT
-@TIMEOUT
+@WAIT_OPTION
+@TIMEOUT_OPTION
 @click.pass_context
 def drain(
     context: click.Context,
@@ -141,7 +152,7 @@
     wait: bool,
     timeout: float,
 ) -> None:
-    """Give a target no new work; what runs there goes on."""
+    """Drain a target: it gets no new work, and running work continues."""
     document: dict[str, Any] = {
         "kind": "drain",
         "schema": 1,
@@ -153,14 +164,14 @@
         document["delete"] = True
     revision = apply_documents(context, (json.dumps(document),))
     if wait:
-        wait_until_in_force(context, revision, timeout)
+        wait_until_active(context, revision, timeout)
 
 
 @click.command()
 @click.argument("domain")
 @click.option("--start/--end", "starts", default=None, help="Drain it, or end that.")
-@WAIT
-@TIMEOUT
+@WAIT_OPTION
+@TIMEOUT_OPTION
 @click.pass_context
 def evacuate(
     context: click.Context,
@@ -169,7 +180,7 @@
     wait: bool,
     timeout: float,
 ) -> None:
-    """Give the targets of a failure domain no new work; what runs there goes on."""
+    """Drain a failure domain: its targets get no new work, running work continues."""
     if starts is None:
         raise click.UsageError("found neither --start nor --end, expected one of them")
     document: dict[str, Any] = {"kind": "evacuation", "schema": 1, "name": domain}
@@ -177,7 +188,7 @@
         document["delete"] = True
     revision = apply_documents(context, (json.dumps(document),))
     if wait:
-        wait_until_in_force(context, revision, timeout)
+        wait_until_active(context, revision, timeout)
 
 
 @click.command(name="list")
@@ -185,7 +196,7 @@
 @click.pass_context
 def list_records(context: click.Context, business: str) -> None:
     """List the records of a business, or of all."""
-    reply: ListReply = call(context, LIST, ListRequest(business))
+    reply: ListReply = send_request(context, LIST, ListRequest(business))
     for record in reply.records:
         click.echo(
             f"{record.kind} {record.business}/{record.name} "
@@ -200,10 +211,10 @@
 @click.pass_context
 def get(context: click.Context, kind: str, business: str, name: str) -> None:
     """Print one record as JSON."""
-    reply: ListReply = call(context, LIST, ListRequest(business))
+    reply: ListReply = send_request(context, LIST, ListRequest(business))
     for record in reply.records:
         if (record.kind, record.name) == (kind, name):
-            click.echo(json.dumps(to_plain(record), indent=1))
+            click.echo(json.dumps(to_json_value(record), indent=1))
             return
     click.echo(f"no {kind} {business}/{name}", err=True)
     sys.exit(EXIT_FAILURE)
@@ -214,12 +225,12 @@
 @click.pass_context
 def history(context: click.Context, business: str) -> None:
     """List the latest changes of a business, or of all."""
-    reply: HistoryReply = call(context, HISTORY, HistoryRequest(business))
+    reply: HistoryReply = send_request(context, HISTORY, HistoryRequest(business))
     for entry in reply.entries:
-        when = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(entry.time))
+        changed_at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(entry.time))
         click.echo(
-            f"revision={entry.revision} {when} {name_action(entry)} {entry.kind} "
-            f"{entry.business}/{entry.name} by {entry.actor}"
+            f"revision={entry.revision} {changed_at} {describe_action(entry)} "
+            f"{entry.kind} {entry.business}/{entry.name} by {entry.actor}"
         )
 
 
@@ -230,49 +241,47 @@
 @click.pass_context
 def diff(context: click.Context, path: Path | None, business: str, since: int) -> None:
     """Show what a file would change, or what changed after a revision."""
-    lines = (
-        compare_with_file(context, path)
-        if path
-        else show_changes(context, business, since)
-    )
+    lines = diff_file(context, path) if path else diff_history(context, business, since)
     for line in lines:
         click.echo(line)
 
 
-def name_action(entry: Entry) -> str:
-    """Return what was done to the record."""
+def describe_action(entry: HistoryEntry) -> str:
+    """Return whether the record was created, changed or deleted."""
     if not entry.before:
         return "created"
     return "changed" if entry.after else "deleted"
 
 
-def show_changes(context: click.Context, business: str, since: int) -> Iterator[str]:
+def diff_history(context: click.Context, business: str, since: int) -> Iterator[str]:
     """Yield a unified diff of each change after a revision."""
-    reply: HistoryReply = call(context, HISTORY, HistoryRequest(business))
+    reply: HistoryReply = send_request(context, HISTORY, HistoryRequest(business))
     for entry in reply.entries:
         if entry.revision <= since:
             continue
         name = f"{entry.kind} {entry.business}/{entry.name}"
         label = f"{name} revision={entry.revision}"
-        yield from compare_texts(entry.before, entry.after, name, label)
+        yield from diff_documents(entry.before, entry.after, name, label)
 
 
-def compare_with_file(context: click.Context, path: Path) -> Iterator[str]:
-    """Yield a unified diff from the records in force to those of the file."""
-    reply: ListReply = call(context, LIST, ListRequest())
-    held = {(found.kind, found.business, found.name): found for found in reply.records}
+def diff_file(context: click.Context, path: Path) -> Iterator[str]:
+    """Yield a unified diff from the current records to those of the file."""
+    reply: ListReply = send_request(context, LIST, ListRequest())
+    current = {
+        (listed.kind, listed.business, listed.name): listed for listed in reply.records
+    }
     for text in read_documents(path):
         document = json.loads(text)
-        key = find_key(document)
-        record: ListedRecord | None = held.get(key)
+        key = get_record_key(document)
+        record: ListedRecord | None = current.get(key)
         name = "{} {}/{}".format(*key)
         before = record.document if record else ""
         after = "" if document.get("delete") else text
-        yield from compare_texts(before, after, name, f"{name} {path}")
+        yield from diff_documents(before, after, name, f"{name} {path}")
 
 
-def find_key(document: dict[str, Any]) -> tuple[str, str, str]:
-    """Return kind, business and name of a document."""
+def get_record_key(document: dict[str, Any]) -> tuple[str, str, str]:
+    """Return kind, business and name of the record that a document describes."""
     kind, name = document.get("kind", ""), document.get("name", "")
     if kind == "evacuation":
         return (kind, "", name)
@@ -281,22 +290,26 @@
     return (kind, document.get("business", name), name)
 
 
-def compare_texts(
+def diff_documents(
     before: str, after: str, old_label: str, new_label: str
 ) -> Iterator[str]:
     """Yield a unified diff of two JSON texts, key by key."""
     yield from difflib.unified_diff(
-        split_lines(before), split_lines(after), old_label, new_label, lineterm=""
+        format_document(before),
+        format_document(after),
+        old_label,
+        new_label,
+        lineterm="",
     )
 
 
-def split_lines(document: str) -> list[str]:
-    """Return the lines of a document in one layout, so that only values differ."""
+def format_document(document: str) -> list[str]:
+    """Return a document's lines in canonical layout, so that only values differ."""
     if not document:
         return []
-    found = json.loads(document)
-    found.pop("expected_revision", None)
-    return json.dumps(found, indent=1, sort_keys=True).splitlines()
+    parsed = json.loads(document)
+    parsed.pop("expected_revision", None)
+    return json.dumps(parsed, indent=1, sort_keys=True).splitlines()
 
 
 COMMANDS: Final = (apply, drain, evacuate, list_records, get, history, diff)
--- a/ibisshunt/components/__init__.py
+++ b/ibisshunt/components/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the tasks: one folder a domain, each with setup and unload."""
+"""Contain the tasks that do input and output: one package per area."""
--- a/ibisshunt/components/agent/__init__.py
+++ b/ibisshunt/components/agent/__init__.py
@@ -1,1 +1,1 @@
-"""Own the flows of one target."""
+"""Serve the packets and streams of one target."""
--- a/ibisshunt/components/agent/packets.py
+++ b/ibisshunt/components/agent/packets.py
@@ -1,4 +1,4 @@
-"""Deliver the packets of the flows that the target owns, and pass on all others."""
+"""Deliver the packets of the local target's flows and forward all others."""
 
 import time
 from collections.abc import Callable
@@ -11,8 +11,8 @@
 from ...coordination.flows.owner import FlowOwner
 from ...coordination.flows.table import ServiceTable
 from ...core import Kernel
-from ...helpers.clock import read_shared_clock
-from ...helpers.datagrams import DatagramSocket, Pair
+from ...helpers.clock import read_wall_clock
+from ...helpers.datagrams import DatagramSocket, SocketAddress
 from ...helpers.logging import log_event
 from ...helpers.refusals import RefusalCounter
 from ...model.configuration import Configuration, ServiceSlice
@@ -29,15 +29,15 @@
 HOUSEKEEPING_SECONDS: Final = 0.25
 SWEEP_INTERVAL_SECONDS: Final = 5.0
 REPORT_INTERVAL_SECONDS: Final = 1.0
-# Headers of balancers are few and alike: they are read once and then looked up.
-MAX_KNOWN_HEADERS: Final = 1024
-# A stale sender is told so at most this often.
-NOTICE_INTERVAL_SECONDS: Final = 1.0
-MAX_NOTICED_SENDERS: Final = 2048
+# Balancers use few distinct headers, so parsed ones are cached.
+MAX_CACHED_HEADERS: Final = 1024
+# Shortest interval between notices to one sender with an outdated revision.
+STALE_NOTICE_INTERVAL_SECONDS: Final = 1.0
+MAX_TRACKED_STALE_SENDERS: Final = 2048
 
 
 class PacketTask:
-    """Own the packet socket and the flows of an agent."""
+    """Own the packet socket and the flow table of an agent."""
 
     def __init__(self, settings: AgentSettings, kernel: Kernel) -> None:
         self._settings = settings
@@ -51,12 +51,12 @@
         self._socket = DatagramSocket(settings.packets)
         self._send = self._socket.send_to
         self._tunnel = settings.target.tunnel.as_pair()
-        self._headers: dict[bytes, Header] = {}
-        self._noticed: dict[Pair, float] = {}
+        self._header_cache: dict[bytes, Header] = {}
+        self._next_stale_notice: dict[SocketAddress, float] = {}
         self._slice: ServiceSlice | None = None
         self._revision = 0
         self._delivered = self._forwarded = self._resets = 0
-        self._flushed: dict[str, int] = {}
+        self._reported_totals: dict[str, int] = {}
 
     @property
     def address(self) -> Any:
@@ -71,59 +71,59 @@
         """Handle datagrams until killed."""
         self._socket.serve(self._handle)
 
-    def _handle(self, data: bytes, sender: Pair) -> None:
+    def _handle(self, data: bytes, sender: SocketAddress) -> None:
         try:
             self._handle_datagram(data, sender)
         except PacketError as error:
             self._refusals.count(str(error))
         except OSError:
-            # A full socket buffer or an unreachable peer: the sender sends again.
+            # Full socket buffer or unreachable peer: the sender retransmits.
             self._refusals.count("send_failed")
 
-    def _handle_datagram(self, data: bytes, sender: Pair) -> None:
-        header = self._headers.get(data[:HEADER_BYTES])
+    def _handle_datagram(self, data: bytes, sender: SocketAddress) -> None:
+        header = self._header_cache.get(data[:HEADER_BYTES])
         if header is None:
-            header, packet = self._read(data)
+            header, packet = self._parse_datagram(data)
         else:
             packet = data[HEADER_BYTES:]
         self._now = now = time.monotonic()
         if header.kind != DatagramKind.PACKET:
-            self._take_notice(header, packet, now)
+            self._handle_notice(header, packet, now)
             return
         if header.revision < self._revision:
-            self._tell_stale(header, sender, now)
+            self._notify_stale_sender(header, sender, now)
         key, bits = scan_packet(packet)
         action = self._owner.handle(header, key, bits, now)
         if action.kind == ActionKind.DELIVER:
             self._send(packet, self._tunnel)
             self._delivered += 1
         else:
-            self._carry_out(action, packet)
+            self._execute(action, packet)
         if self._owner.has_notices():
             self._send_notices()
 
-    def _read(self, data: bytes) -> tuple[Header, bytes]:
-        found = read_datagram(data).value_or(None)
-        if found is None:
+    def _parse_datagram(self, data: bytes) -> tuple[Header, bytes]:
+        datagram = read_datagram(data).value_or(None)
+        if datagram is None:
             raise PacketError("malformed")
-        header, packet = found
+        header, packet = datagram
         if not header.visited:
-            if len(self._headers) >= MAX_KNOWN_HEADERS:
-                self._headers.clear()
-            self._headers[data[:HEADER_BYTES]] = header
+            if len(self._header_cache) >= MAX_CACHED_HEADERS:
+                self._header_cache.clear()
+            self._header_cache[data[:HEADER_BYTES]] = header
         return header, packet
 
-    def _carry_out(self, action: Action, packet: bytes) -> None:
+    def _execute(self, action: Action, packet: bytes) -> None:
         if action.kind == ActionKind.FORWARD and action.header is not None:
-            self._send(pack_header(action.header) + packet, action.pair)
+            self._send(pack_header(action.header) + packet, action.socket_address)
             self._forwarded += 1
             return
         self._refusals.count(action.reason)
         if action.kind == ActionKind.RESET:
-            self._reset(packet)
+            self._send_reset(packet)
 
-    def _reset(self, packet: bytes) -> None:
-        """Tell the caller at once, so that it does not wait for an answer."""
+    def _send_reset(self, packet: bytes) -> None:
+        """Send a TCP reset, so that the caller does not wait for a timeout."""
         info = read_packet(packet).value_or(None)
         reset = make_reset(info) if info else None
         if reset is None or self._settings.replies is None:
@@ -131,20 +131,22 @@
         self._send(reset, self._settings.replies.as_pair())
         self._resets += 1
 
-    def _take_notice(self, header: Header, payload: bytes, now: float) -> None:
+    def _handle_notice(self, header: Header, payload: bytes, now: float) -> None:
         reason = self._owner.receive(header, payload, now)
         if reason:
             self._refusals.count(reason)
 
-    def _tell_stale(self, header: Header, sender: Pair, now: float) -> None:
-        """Tell a sender that its revision of the service is not the newest."""
+    def _notify_stale_sender(
+        self, header: Header, sender: SocketAddress, now: float
+    ) -> None:
+        """Notify a sender that its revision of the service is outdated."""
         if header.service != self._slice.number:
             return
-        if self._noticed.get(sender, 0.0) > now:
+        if self._next_stale_notice.get(sender, 0.0) > now:
             return
-        if len(self._noticed) >= MAX_NOTICED_SENDERS:
-            self._noticed.clear()
-        self._noticed[sender] = now + NOTICE_INTERVAL_SECONDS
+        if len(self._next_stale_notice) >= MAX_TRACKED_STALE_SENDERS:
+            self._next_stale_notice.clear()
+        self._next_stale_notice[sender] = now + STALE_NOTICE_INTERVAL_SECONDS
         notice = Header(
             DatagramKind.REVISION, 0, header.service, self._revision, header.target
         )
@@ -153,17 +155,17 @@
     def _send_notices(self) -> None:
         for notice in self._owner.take_notices():
             try:
-                self._send(notice.data, notice.pair)
+                self._send(notice.data, notice.socket_address)
             except OSError:
                 self._refusals.count("notice_lost")
 
-    def keep_house(self) -> None:
-        """Keep table, flows and reports current, until killed."""
+    def run_housekeeping(self) -> None:
+        """Update the table, expire flows and report periodically until killed."""
         report_deadline = sweep_deadline = time.monotonic()
         while True:
             self._update_table()
             now = time.monotonic()
-            self._owner.recall(now)
+            self._owner.retry_recall(now)
             self._send_notices()
             if now >= report_deadline:
                 report_deadline = now + REPORT_INTERVAL_SECONDS
@@ -176,15 +178,15 @@
             self._wake.clear()
 
     def wake(self) -> None:
-        """Look at the configuration and the announcement at once.
+        """Apply changes of the configuration and the announcement at once.
 
         Peers send flows to a target as soon as it is in their tables: an agent that
-        looked later would drop the first packets of each.
+        updated its own table later would drop the first packets of each flow.
         """
         self._wake.set()
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Take the service's own slice out of a configuration."""
+        """Store the slice of the agent's service from a new configuration."""
         self.wake()
         target = self._settings.target
         for slice_ in configuration.slices.values():
@@ -194,48 +196,52 @@
                 return
 
     def _update_table(self) -> None:
-        """Build a table when slice, incarnation or a share has changed."""
+        """Rebuild the table if the slice, incarnation or a share has changed."""
         state = self._owner.state
         self._owner.set_leaving(self._announcement.leaving)
         incarnation = self._announcement.incarnation
         table, slice_ = state.table, self._slice
         if slice_ is None:
             return
-        wall_now = read_shared_clock()
-        current = table is not None and table.slice == slice_
-        if current and incarnation == state.incarnation and not table.is_old(wall_now):
+        wall_now = read_wall_clock()
+        is_current = table is not None and table.slice == slice_
+        if (
+            is_current
+            and incarnation == state.incarnation
+            and not table.is_outdated(wall_now)
+        ):
             return
         table = ServiceTable(slice_, wall_now)
-        for _ in table.prepare():
+        for _ in table.precompute():
             gevent.sleep(0)
         self._owner.update(table, incarnation, time.monotonic())
-        changed = self._revision != table.revision
+        has_new_revision = self._revision != table.revision
         self._revision = table.revision
         self._send_notices()
-        self._hand_over(everything=False)
-        # While a target warms up its share grows and the table with it, once a second:
-        # only a new revision is an event.
-        if changed:
+        self._advertise_flows(to_backups=False)
+        # While a target warms up, its share grows and the table is rebuilt every
+        # second: only log a new revision.
+        if has_new_revision:
             log_event("flow_table", service=table.number, revision=table.revision)
 
-    def _hand_over(self, everything: bool) -> None:
-        for _ in self._owner.hand_over(everything):
+    def _advertise_flows(self, to_backups: bool) -> None:
+        for _ in self._owner.advertise_flows(to_backups):
             self._send_notices()
             gevent.sleep(0)
 
     def _report(self, now: float) -> None:
-        self._owner.tell_load()
-        self._owner.tell_flows()
+        self._owner.send_load()
+        self._owner.replicate_flows()
         self._send_notices()
-        wanted = self._owner.take_wanted_revision()
-        if wanted:
-            self._configuration.request_pull(wanted)
+        newer_revision = self._owner.pop_newer_revision()
+        if newer_revision:
+            self._configuration.record_peer_revision(newer_revision)
         self._refusals.flush(self._metrics, now)
         self._metrics.set("ibisshunt_flows", self.count())
         for name, total in self._list_totals().items():
-            amount = total - self._flushed.get(name, 0)
+            amount = total - self._reported_totals.get(name, 0)
             self._metrics.add(f"ibisshunt_packets_{name}_total", amount)
-            self._flushed[name] = total
+            self._reported_totals[name] = total
 
     def _list_totals(self) -> dict[str, int]:
         return {
@@ -253,21 +259,21 @@
         }
 
     def close(self) -> None:
-        """Tell peers about the flows and close the socket.
+        """Advertise all flows to peers and close the socket.
 
-        A new agent beside the same target finds its flows through them.
+        The next agent of the same target recovers its flows from these peers.
         """
-        self._hand_over(everything=True)
+        self._advertise_flows(to_backups=True)
         self._socket.close()
 
 
 def setup(kernel: Kernel, settings: AgentSettings) -> Callable[[], None]:
-    """Start the packet path of an agent; return the function that ends it."""
+    """Start the packet path of an agent; return the function that stops it."""
     task = PacketTask(settings, kernel)
     kernel.find("configuration").subscribe(task.set_configuration)
     greenlets = [
         kernel.spawn("packets", task.receive),
-        kernel.spawn("packets_housekeeping", task.keep_house),
+        kernel.spawn("packets_housekeeping", task.run_housekeeping),
     ]
 
     def unload() -> None:
--- a/ibisshunt/components/agent/streams.py
+++ b/ibisshunt/components/agent/streams.py
@@ -1,4 +1,4 @@
-"""Take relayed TCP streams for the agent's own target."""
+"""Accept TCP streams relayed by balancers for the local target."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -20,59 +20,59 @@
 from ...protocol.preamble import Preamble, Verdict, receive_preamble, send_verdict
 from ...settings import AgentSettings
 
-PREAMBLE_SECONDS: Final = 2.0
-CONNECT_SECONDS: Final = 2.0
+PREAMBLE_TIMEOUT_SECONDS: Final = 2.0
+CONNECT_TIMEOUT_SECONDS: Final = 2.0
 
 
-class StreamIntake:
-    """Own the stream socket of one agent."""
+class AgentStreamServer:
+    """Own the stream listener of one agent."""
 
     def __init__(self, kernel: Kernel, settings: AgentSettings) -> None:
         self._kernel = kernel
         self._settings = settings
-        self._part: ServiceSlice | None = None
-        self._admits = make_caller_check(())
-        self._counts: Counter[str] = Counter()
-        self._open = 0
+        self._slice: ServiceSlice | None = None
+        self._is_caller_allowed = make_caller_check(())
+        self._verdict_counts: Counter[str] = Counter()
+        self._open_streams = 0
         self._server = StreamServer(settings.streams.as_pair(), self._accept)
         self._server.start()
 
-    def follow(self, configuration: Configuration) -> None:
-        """Note the slice of the agent's own service."""
+    def update_configuration(self, configuration: Configuration) -> None:
+        """Store the slice of the agent's service from a new configuration."""
         target = self._settings.target
-        for part in configuration.slices.values():
-            service = part.service
+        for slice_ in configuration.slices.values():
+            service = slice_.service
             if (service.business, service.name) == (target.business, target.service):
-                self._part = part
-                self._admits = make_caller_check(service.callers)
+                self._slice = slice_
+                self._is_caller_allowed = make_caller_check(service.callers)
                 return
-        self._part = None
+        self._slice = None
 
     def _accept(self, connection: socket.socket, pair: tuple[str, int]) -> None:
-        received = receive_preamble(connection, PREAMBLE_SECONDS)
+        received = receive_preamble(connection, PREAMBLE_TIMEOUT_SECONDS)
         if isinstance(received, Failure):
             warn_event("preamble_refused", peer=pair, fault=received.failure())
-            self._answer(connection, Verdict.MALFORMED)
+            self._send_verdict(connection, Verdict.MALFORMED)
             return
         preamble = received.unwrap()
-        verdict = self._check(preamble)
+        verdict = self._check_preamble(preamble)
         if verdict != Verdict.TAKEN:
-            self._answer(connection, verdict)
+            self._send_verdict(connection, verdict)
             return
-        self._open += 1
+        self._open_streams += 1
         try:
-            self._serve(connection, preamble)
+            self._serve_stream(connection, preamble)
         finally:
-            self._open -= 1
+            self._open_streams -= 1
 
-    def _check(self, preamble: Preamble) -> Verdict:
-        """Check again what the balancer checked.
+    def _check_preamble(self, preamble: Preamble) -> Verdict:
+        """Repeat the balancer's checks with the agent's own configuration.
 
-        A balancer with an old configuration may send a stream of another service to
-        an address that has changed hands; its caller would get a wrong answer.
+        A balancer with an outdated configuration may send a stream of another service
+        to an address that was reassigned; its caller would get a wrong answer.
         """
-        part = self._part
-        if part is None or part.number != preamble.service_number:
+        slice_ = self._slice
+        if slice_ is None or slice_.number != preamble.service_number:
             return Verdict.WRONG_SERVICE
         announcement = self._kernel.find("announcement")
         if announcement.incarnation != preamble.incarnation:
@@ -81,32 +81,34 @@
             caller_ip = socket.inet_aton(preamble.caller.ip)
         except OSError:
             return Verdict.MALFORMED
-        if not self._admits(caller_ip):
+        if not self._is_caller_allowed(caller_ip):
             return Verdict.CALLER_REFUSED
         if announcement.leaving or self._kernel.is_stopping():
             return Verdict.LEAVING
         return Verdict.TAKEN
 
-    def _serve(self, connection: socket.socket, preamble: Preamble) -> None:
-        if self._part.service.front == FrontKind.HTTP and self._kernel.has("front"):
-            self._answer(connection, Verdict.TAKEN)
+    def _serve_stream(self, connection: socket.socket, preamble: Preamble) -> None:
+        if self._slice.service.front == FrontKind.HTTP and self._kernel.has("front"):
+            self._send_verdict(connection, Verdict.TAKEN)
             self._kernel.find("front").handle(connection, preamble.caller)
             return
         address = self._settings.target.streams
         try:
-            target = socket.create_connection(address.as_pair(), CONNECT_SECONDS)
+            target = socket.create_connection(
+                address.as_pair(), CONNECT_TIMEOUT_SECONDS
+            )
         except OSError as error:
             warn_event("target_unreachable", peer=address, reason=error)
-            self._answer(connection, Verdict.TARGET_UNREACHABLE)
+            self._send_verdict(connection, Verdict.TARGET_UNREACHABLE)
             return
         target.settimeout(None)
-        if self._answer(connection, Verdict.TAKEN):
+        if self._send_verdict(connection, Verdict.TAKEN):
             relay_streams(connection, target)
         else:
             target.close()
 
-    def _answer(self, connection: socket.socket, verdict: Verdict) -> bool:
-        self._counts[verdict.name.lower()] += 1
+    def _send_verdict(self, connection: socket.socket, verdict: Verdict) -> bool:
+        self._verdict_counts[verdict.name.lower()] += 1
         try:
             send_verdict(connection, verdict)
         except OSError:
@@ -117,19 +119,21 @@
         return True
 
     def stop(self) -> None:
-        """Take no new stream and wait for those that run, within the grace time."""
+        """Accept no new stream and wait for open ones, up to the grace period."""
         self._server.close()
         with gevent.Timeout(STOP_GRACE_SECONDS, False):
-            while self._open:
+            while self._open_streams:
                 gevent.sleep(0.02)
-        if self._open:
+        if self._open_streams:
             target = self._settings.target.name
-            warn_event("streams_cut", target=target, count=self._open)
+            warn_event("streams_cut", target=target, count=self._open_streams)
 
     def list_samples(self) -> Iterable[Sample]:
         """Return the counters for the metrics page."""
-        yield Sample("ibisshunt_agent_streams_open", SampleKind.GAUGE, {}, self._open)
-        for verdict, count in self._counts.items():
+        yield Sample(
+            "ibisshunt_agent_streams_open", SampleKind.GAUGE, {}, self._open_streams
+        )
+        for verdict, count in self._verdict_counts.items():
             yield Sample(
                 "ibisshunt_agent_streams_total",
                 SampleKind.COUNTER,
@@ -139,13 +143,13 @@
 
     def dump(self) -> dict[str, Any]:
         """Return the state for the dump."""
-        return {"open": self._open, "verdicts": dict(self._counts)}
+        return {"open": self._open_streams, "verdicts": dict(self._verdict_counts)}
 
 
-def setup(kernel: Kernel, settings: AgentSettings) -> StreamIntake:
-    """Start the stream intake; register it as ``streams``."""
-    intake = StreamIntake(kernel, settings)
-    kernel.find("configuration").subscribe(intake.follow)
+def setup(kernel: Kernel, settings: AgentSettings) -> AgentStreamServer:
+    """Start the stream server of an agent; register it as ``streams``."""
+    intake = AgentStreamServer(kernel, settings)
+    kernel.find("configuration").subscribe(intake.update_configuration)
     kernel.find("metrics").collect(intake.list_samples)
     kernel.register("streams", intake, unload=intake.stop, dump=intake.dump)
     return intake
--- a/ibisshunt/components/balancer/__init__.py
+++ b/ibisshunt/components/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""Take packets and streams from the fabric and send them to agents."""
+"""Forward packets and streams from the network fabric to agents."""
--- a/ibisshunt/components/balancer/packets.py
+++ b/ibisshunt/components/balancer/packets.py
@@ -1,4 +1,4 @@
-"""Take packets from the fabric and send each to the agent that may own its flow."""
+"""Forward packets from the network fabric to the agents that may own their flows."""
 
 import time
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 
 from ...coordination.flows.router import NO_TARGET, Router
 from ...core import Kernel
-from ...helpers.clock import read_shared_clock
-from ...helpers.datagrams import DatagramSocket, Pair
+from ...helpers.clock import read_wall_clock
+from ...helpers.datagrams import DatagramSocket, SocketAddress
 from ...helpers.refusals import RefusalCounter
 from ...model.configuration import Configuration
 from ...protocol.datagram import HEADER_VERSION, DatagramKind, read_datagram
@@ -30,78 +30,78 @@
         self._refusals = RefusalCounter("balancer")
         self._socket = DatagramSocket(settings.packets)
         self._send = self._socket.send_to
-        self._replies = settings.replies.as_pair() if settings.replies else None
+        self._reply_address = settings.replies.as_pair() if settings.replies else None
         self._wanted_revision = 0
-        self._now = read_shared_clock()
+        self._now = read_wall_clock()
         self._forwarded = 0
-        self._flushed = 0
+        self._reported_forwarded = 0
 
     @property
     def address(self) -> Any:
-        """Return the address that the fabric sends to."""
+        """Return the address to which the fabric sends packets."""
         return self._socket.address
 
     def receive(self) -> None:
         """Forward packets until killed."""
         self._socket.serve(self._handle)
 
-    def _handle(self, data: bytes, sender: Pair) -> None:
-        if data[:1] == _NOTICE:
-            self._take_notice(data)
+    def _handle(self, data: bytes, sender: SocketAddress) -> None:
+        if data[:1] == _NOTICE_PREFIX:
+            self._handle_notice(data)
             return
         try:
-            pair, head = self._router.route(data, self._now)
-            self._send(head + data, pair)
+            pair, header = self._router.route(data, self._now)
+            self._send(header + data, pair)
         except PacketError as error:
-            self._refuse(data, str(error))
+            self._drop(data, str(error))
         except OSError:
-            # A full socket buffer or an unreachable agent: the sender sends again.
+            # Full socket buffer or unreachable agent: the sender retransmits.
             self._refusals.count("send_failed")
         else:
             self._forwarded += 1
 
-    def _refuse(self, data: bytes, reason: str) -> None:
+    def _drop(self, data: bytes, reason: str) -> None:
         self._refusals.count(reason)
-        if reason != NO_TARGET or self._replies is None:
+        if reason != NO_TARGET or self._reply_address is None:
             return
         info = read_packet(data).value_or(None)
-        # Only a new flow: a balancer that has not heard of the targets yet would break
-        # an established one by a reset.
-        reset = make_reset(info) if info and info.opens else None
+        # Only reset new flows: a balancer that does not know the targets yet would
+        # break an established one.
+        reset = make_reset(info) if info and info.opens_flow else None
         if reset is None:
             return
         with suppress(OSError):
-            self._send(reset, self._replies)
+            self._send(reset, self._reply_address)
 
-    def _take_notice(self, data: bytes) -> None:
-        """Note that an agent has a newer revision than this balancer."""
-        found = read_datagram(data).value_or(None)
-        if found is None or found[0].kind != DatagramKind.REVISION:
+    def _handle_notice(self, data: bytes) -> None:
+        """Record that an agent has a newer revision than this balancer."""
+        datagram = read_datagram(data).value_or(None)
+        if datagram is None or datagram[0].kind != DatagramKind.REVISION:
             self._refusals.count("malformed")
             return
-        self._wanted_revision = max(self._wanted_revision, found[0].revision)
+        self._wanted_revision = max(self._wanted_revision, datagram[0].revision)
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Hand over a configuration; it is in force when this returns."""
-        self._now = read_shared_clock()
+        """Apply a configuration; it is active when this returns."""
+        self._now = read_wall_clock()
         self._router.update(configuration, self._now)
 
-    def keep_house(self) -> None:
-        """Refresh ramps, report counts and pull what is missing, until killed."""
+    def run_housekeeping(self) -> None:
+        """Refresh warm-ups, report counts and request newer revisions until killed."""
         while True:
             gevent.sleep(HOUSEKEEPING_SECONDS)
-            self._now = read_shared_clock()
+            self._now = read_wall_clock()
             self._router.refresh(self._now)
             self._refusals.flush(self._metrics, time.monotonic())
-            amount = self._forwarded - self._flushed
-            self._flushed = self._forwarded
+            amount = self._forwarded - self._reported_forwarded
+            self._reported_forwarded = self._forwarded
             self._metrics.add("ibisshunt_packets_forwarded_total", amount)
-            self._pull()
+            self._request_newer_revision()
 
-    def _pull(self) -> None:
-        wanted, self._wanted_revision = self._wanted_revision, 0
-        if wanted > self._configuration.current.revision:
-            self._configuration.request_pull(wanted)
+    def _request_newer_revision(self) -> None:
+        wanted_revision, self._wanted_revision = self._wanted_revision, 0
+        if wanted_revision > self._configuration.current.revision:
+            self._configuration.record_peer_revision(wanted_revision)
 
     def describe(self) -> dict[str, Any]:
         """Return the state for the dump."""
@@ -116,16 +116,16 @@
         self._socket.close()
 
 
-_NOTICE: Final = bytes([HEADER_VERSION])
+_NOTICE_PREFIX: Final = bytes([HEADER_VERSION])
 
 
 def setup(kernel: Kernel, settings: BalancerSettings) -> Callable[[], None]:
-    """Start the packet path of a balancer; return the function that ends it."""
+    """Start the packet path of a balancer; return the function that stops it."""
     task = PacketTask(settings, kernel)
     kernel.find("configuration").subscribe(task.set_configuration)
     greenlets = [
         kernel.spawn("packets", task.receive),
-        kernel.spawn("packets_housekeeping", task.keep_house),
+        kernel.spawn("packets_housekeeping", task.run_housekeeping),
     ]
 
     def unload() -> None:
--- a/ibisshunt/components/consensus/driver.py
+++ b/ibisshunt/components/consensus/driver.py
@@ -1,7 +1,7 @@
-"""Carry out what the decisions ask for: write, send, sync, apply, answer.
+"""Execute the outputs of the consensus state: write, send, sync, apply, answer.
 
-The driver knows no socket and no task, so tests run it on a folder in memory and stop
-it at any write.
+The driver uses no sockets and no tasks, so tests run it on an in-memory folder and
+crash it at any write.
 """
 
 from collections import deque
@@ -30,20 +30,20 @@
 from ...coordination.consensus.state import Event, Refused
 from ...exceptions import Fault
 from ...helpers.logging import log_event
-from ..storage.store import Batch, Recovered, Store
+from ..storage.store import Batch, LogStore, RecoveredState
 
-SNAPSHOT_ENTRIES = 1_000
-SNAPSHOT_BYTES = 16 * 1024 * 1024
-KEPT_TIMINGS = 8_192
-# Ticket of a request that no caller waits for.
-NO_TICKET = 0
+SNAPSHOT_INTERVAL_ENTRIES = 1_000
+SNAPSHOT_WAL_BYTES = 16 * 1024 * 1024
+MAX_KEPT_TIMINGS = 8_192
+# Id of a request that no caller waits for.
+NO_REQUEST_ID = 0
 
 
 @dataclass(frozen=True, slots=True)
 class StateMachine:
-    """Hold the closures of a deterministic state machine.
+    """Hold the callbacks of a deterministic state machine.
 
-    ``apply`` must give the same reply on every host and must not raise.
+    ``apply`` must return the same reply on every host and must not raise.
     """
 
     apply: Callable[[int, bytes], bytes]
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalTiming:
-    """Hold the parts of one accepted proposal's latency, in seconds."""
+    """Break down the latency of one committed proposal, in seconds."""
 
     sync: float
     quorum: float
@@ -61,45 +61,46 @@
 
 
 @dataclass(slots=True)
-class Pending:
-    """Hold a proposal of this host that is in its log but not committed."""
+class PendingProposal:
+    """Hold a proposal made on this host whose entry is not committed yet."""
 
-    ticket: int
+    request_id: int
     term: int
     appended_at: float
     synced_at: float = 0.0
 
 
-Answer = Callable[[int, Result[Any, Fault]], None]
+AnswerCallback = Callable[[int, Result[Any, Fault]], None]
 
 
 class Driver:
-    """Own the state of one host and its store.
+    """Own the consensus state of one host and its log store.
 
-    ``deliver`` sends an envelope without waiting, ``answer`` resolves a ticket,
-    ``clock`` returns seconds and is used for figures only.
+    ``random_fraction`` returns a float in [0, 1), ``send`` queues an envelope without
+    blocking, ``answer`` completes the request with the given id, ``clock`` returns
+    seconds and only feeds the latency figures.
     """
 
     def __init__(
         self,
-        store: Store,
-        recovered: Recovered,
+        store: LogStore,
+        recovered: RecoveredState,
         machine: StateMachine,
         settings: ConsensusSettings,
-        draw: Callable[[], float],
-        deliver: Callable[[Envelope], None],
-        answer: Answer,
+        random_fraction: Callable[[], float],
+        send: Callable[[Envelope], None],
+        answer: AnswerCallback,
         clock: Callable[[], float],
-        snapshot_entries: int = SNAPSHOT_ENTRIES,
+        snapshot_entries: int = SNAPSHOT_INTERVAL_ENTRIES,
     ) -> None:
         identity = recovered.identity
         self.host = f"{identity.name}/{identity.disk}"
         self.state = make_state(
             self.host,
             settings,
-            draw,
+            random_fraction,
             clock(),
-            recovered.hard,
+            recovered.hard_state,
             recovered.base,
             recovered.entries,
             recovered.snapshot,
@@ -107,68 +108,73 @@
         self.applied = 0
         self.syncs = 0
         self.snapshots = 0
-        self.timings: deque[ProposalTiming] = deque(maxlen=KEPT_TIMINGS)
+        self.timings: deque[ProposalTiming] = deque(maxlen=MAX_KEPT_TIMINGS)
         self._store = store
         self._machine = machine
-        self._deliver = deliver
+        self._send = send
         self._answer = answer
         self._clock = clock
         self._snapshot_entries = snapshot_entries
-        self._pending: dict[int, Pending] = {}
-        self._reads: list[tuple[int, int]] = []
-        self._seen: tuple[Any, ...] = ()
-        self._told = ""
+        self._pending_proposals: dict[int, PendingProposal] = {}
+        self._pending_reads: list[tuple[int, int]] = []
+        self._logged_role: tuple[Any, ...] = ()
+        self._logged_refusal = ""
         if recovered.snapshot is not None:
             self._restore(recovered.snapshot)
 
     def step(self, events: list[Event], now: float) -> None:
-        """Take a batch of events; one sync covers everything they ask for."""
+        """Process a batch of events; one sync covers all writes they cause."""
         for event in events:
             handle(self.state, event, now)
-        out = collect(self.state, now)
-        while _has_work(out):
-            self._carry_out(out, now)
-            out = collect(self.state, now)
-        # A confirmation can commit an entry without asking for anything else.
+        outputs = collect(self.state, now)
+        while _has_work(outputs):
+            self._execute(outputs, now)
+            outputs = collect(self.state, now)
+        # A confirmation can commit an entry without producing any other output.
         self._apply()
         self._compact_if_due(now)
-        self._log_changes()
-
-    def _carry_out(self, out: Outputs, now: float) -> None:
-        self._register(out)
-        wrote = self._write(out)
-        for envelope in out.messages:
-            self._deliver(envelope)
-        if wrote:
+        self._log_role_change()
+
+    def _execute(self, outputs: Outputs, now: float) -> None:
+        self._track_proposals(outputs)
+        has_written = self._write(outputs)
+        for envelope in outputs.messages:
+            self._send(envelope)
+        if has_written:
             self._sync(now)
-        for envelope in out.promises:
-            self._deliver(envelope)
-        for refused in out.refused:
-            self._refuse(refused)
-        self._reads += [(ready.index, ready.ticket) for ready in out.reads]
-
-    def _refuse(self, refused: Refused) -> None:
-        fault = NotAccepted("take request", "", refused.reason)
-        self._answer(refused.ticket, Failure(fault))
-        if refused.ticket == NO_TICKET and refused.reason != self._told:
-            self._told = refused.reason
-            log_event("host_not_admitted", reason=refused.reason)
-
-    def _register(self, out: Outputs) -> None:
-        for appended in out.appended:
-            pending = Pending(appended.ticket, appended.term, self._clock())
-            self._pending[appended.index] = pending
-
-    def _write(self, out: Outputs) -> bool:
-        if out.installed is not None:
-            # The log in memory holds all that this batch appended; it is written
-            # whole behind the snapshot.
-            self._save(out.installed)
-            self._restore(out.installed)
+        for envelope in outputs.messages_after_sync:
+            self._send(envelope)
+        for rejection in outputs.refused:
+            self._reject(rejection)
+        self._pending_reads += [
+            (ready.index, ready.request_id) for ready in outputs.ready_reads
+        ]
+
+    def _reject(self, rejection: Refused) -> None:
+        fault = NotAccepted("accept request", "", rejection.reason)
+        self._answer(rejection.request_id, Failure(fault))
+        if (
+            rejection.request_id == NO_REQUEST_ID
+            and rejection.reason != self._logged_refusal
+        ):
+            self._logged_refusal = rejection.reason
+            log_event("host_not_admitted", reason=rejection.reason)
+
+    def _track_proposals(self, outputs: Outputs) -> None:
+        for appended in outputs.appended:
+            pending = PendingProposal(appended.request_id, appended.term, self._clock())
+            self._pending_proposals[appended.index] = pending
+
+    def _write(self, outputs: Outputs) -> bool:
+        if outputs.installed_snapshot is not None:
+            # The in-memory log includes the entries of this batch; saving the snapshot
+            # rewrites it in full.
+            self._save(outputs.installed_snapshot)
+            self._restore(outputs.installed_snapshot)
             return True
-        if out.hard is None and not out.entries:
+        if outputs.hard_state is None and not outputs.entries:
             return False
-        self._store.write(Batch(self.state.hard, tuple(out.entries)))
+        self._store.write(Batch(self.state.hard_state, tuple(outputs.entries)))
         return True
 
     def _sync(self, now: float) -> None:
@@ -177,13 +183,13 @@
         self._store.sync()
         self.syncs += 1
         synced_at = self._clock()
-        for pending in self._pending.values():
+        for pending in self._pending_proposals.values():
             pending.synced_at = pending.synced_at or synced_at
         handle(self.state, synced, now)
 
     def _apply(self) -> None:
         committed_at = self._clock()
-        while self.applied < self.state.commit:
+        while self.applied < self.state.commit_index:
             entry = self.state.log.get(self.applied + 1)
             reply = b""
             if entry.kind is EntryKind.COMMAND:
@@ -191,21 +197,29 @@
             elif entry.membership is not None:
                 _log_membership(entry)
             self.applied = entry.index
-            self._settle(entry, reply, committed_at)
-        ready = [ticket for index, ticket in self._reads if index <= self.applied]
-        self._reads = [pair for pair in self._reads if pair[0] > self.applied]
-        for ticket in ready:
-            self._answer(ticket, Success(self.applied))
-
-    def _settle(self, entry: Entry, reply: bytes, committed_at: float) -> None:
-        pending = self._pending.pop(entry.index, None)
+            self._complete_proposal(entry, reply, committed_at)
+        ready = [
+            request_id
+            for index, request_id in self._pending_reads
+            if index <= self.applied
+        ]
+        self._pending_reads = [
+            pair for pair in self._pending_reads if pair[0] > self.applied
+        ]
+        for request_id in ready:
+            self._answer(request_id, Success(self.applied))
+
+    def _complete_proposal(
+        self, entry: Entry, reply: bytes, committed_at: float
+    ) -> None:
+        pending = self._pending_proposals.pop(entry.index, None)
         if pending is None:
             return
         if pending.term != entry.term:
-            # Another entry was committed in its place: it never can be.
+            # Another entry was committed at this index, so this one never will be.
             reason = "another leader replaced the entry"
             fault = NotAccepted("propose", "", reason)
-            self._answer(pending.ticket, Failure(fault))
+            self._answer(pending.request_id, Failure(fault))
             return
         synced_at = pending.synced_at or committed_at
         timing = ProposalTiming(
@@ -214,22 +228,26 @@
             self._clock() - committed_at,
         )
         self.timings.append(timing)
-        self._answer(pending.ticket, Success(reply))
+        self._answer(pending.request_id, Success(reply))
 
     def _restore(self, snapshot: Snapshot) -> None:
         self._machine.restore(snapshot.data)
         self.applied = snapshot.index
-        for index in [found for found in self._pending if found <= snapshot.index]:
+        for index in [
+            pending_index
+            for pending_index in self._pending_proposals
+            if pending_index <= snapshot.index
+        ]:
             reason = "a snapshot covers the entry"
             fault = OutcomeUnknown("propose", "", reason)
-            self._answer(self._pending.pop(index).ticket, Failure(fault))
+            self._answer(self._pending_proposals.pop(index).request_id, Failure(fault))
 
     def _compact_if_due(self, now: float) -> None:
         state = self.state
-        covered = state.snapshot.index if state.snapshot else 0
-        entries = self.applied - covered
-        large = self._store.log_bytes >= SNAPSHOT_BYTES and entries > 0
-        if entries < self._snapshot_entries and not large:
+        snapshot_index = state.snapshot.index if state.snapshot else 0
+        entries = self.applied - snapshot_index
+        is_wal_large = self._store.wal_bytes >= SNAPSHOT_WAL_BYTES and entries > 0
+        if entries < self._snapshot_entries and not is_wal_large:
             return
         snapshot = Snapshot(
             self.applied,
@@ -244,13 +262,15 @@
 
     def _save(self, snapshot: Snapshot) -> None:
         log = self.state.log
-        self._store.save_snapshot(snapshot, self.state.hard, log.base, log.entries())
+        self._store.save_snapshot(
+            snapshot, self.state.hard_state, log.base, log.entries()
+        )
 
-    def _log_changes(self) -> None:
+    def _log_role_change(self) -> None:
         state = self.state
-        seen = (state.term, state.role, state.leader)
-        if seen != self._seen and state.role in (Role.FOLLOWER, Role.LEADER):
-            self._seen = seen
+        current = (state.term, state.role, state.leader)
+        if current != self._logged_role and state.role in (Role.FOLLOWER, Role.LEADER):
+            self._logged_role = current
             log_event(
                 "consensus_role",
                 host=self.host,
@@ -260,16 +280,16 @@
             )
 
 
-def _has_work(out: Outputs) -> bool:
+def _has_work(outputs: Outputs) -> bool:
     return bool(
-        out.hard
-        or out.entries
-        or out.installed
-        or out.messages
-        or out.promises
-        or out.appended
-        or out.refused
-        or out.reads
+        outputs.hard_state
+        or outputs.entries
+        or outputs.installed_snapshot
+        or outputs.messages
+        or outputs.messages_after_sync
+        or outputs.appended
+        or outputs.refused
+        or outputs.ready_reads
     )
 
 
--- a/ibisshunt/components/consensus/forwarding.py
+++ b/ibisshunt/components/consensus/forwarding.py
@@ -1,29 +1,29 @@
-"""Pass proposals on to the leader."""
+"""Forward proposals to the leader."""
 
 from returns.result import Failure, Result
 
 from ...coordination.consensus import OutcomeUnknown
 from ...exceptions import Fault, RpcError
 from ...model.address import Address
-from ...protocol.caller import Caller
+from ...protocol.channel import RpcChannel
 from ...protocol.consensus import FORWARD, ForwardRequest
-from .links import MakeChannel
+from .links import ChannelFactory
 
-# What a forwarded proposal gets on top for the way there and back.
+# Added to the timeout of a forwarded proposal for the network round trip.
 FORWARD_MARGIN_SECONDS = 0.5
 
 
-class Forwarder:
-    """Own one connection for proposals to each host that has led."""
+class ProposalForwarder:
+    """Own one connection for proposals to each host that has been leader."""
 
-    def __init__(self, make_channel: MakeChannel) -> None:
+    def __init__(self, make_channel: ChannelFactory) -> None:
         self._make_channel = make_channel
-        self._channels: dict[Address, Caller] = {}
+        self._channels: dict[Address, RpcChannel] = {}
 
     def forward(
         self, address: Address, command: bytes, timeout: float
     ) -> Result[bytes, Fault]:
-        """Return what the leader answers; a call that breaks leaves it unknown."""
+        """Return the leader's reply; a failed call leaves the outcome unknown."""
         if address not in self._channels:
             self._channels[address] = self._make_channel(address)
         request = ForwardRequest(command, timeout)
--- a/ibisshunt/components/consensus/joining.py
+++ b/ibisshunt/components/consensus/joining.py
@@ -1,27 +1,31 @@
-"""Bring a host without a cluster into one: found it, or ask to be admitted."""
+"""Join a host to a cluster: bootstrap a new one or ask to be added as a member."""
 
 import secrets
 from collections.abc import Callable, Mapping
 
 import gevent
 
-from ...coordination.consensus import Found, Member, Membership
-from ...coordination.consensus.membership import name_of
+from ...coordination.consensus import BootstrapCluster, Member, Membership
+from ...coordination.consensus.membership import get_host_name
 from ...coordination.consensus.state import Event
 from ...exceptions import RpcError
 from ...helpers.logging import log_event
 from ...model.address import Address, parse_address
-from ...protocol.caller import Caller
+from ...protocol.channel import RpcChannel
 from ...protocol.consensus import HELLO, HelloReply, HelloRequest
 
 HELLO_TIMEOUT_SECONDS = 1.0
-HELLO_PAUSE_SECONDS = 0.3
-DONE_PAUSE_SECONDS = 0.5
+HELLO_INTERVAL_SECONDS = 0.3
+JOINED_CHECK_SECONDS = 0.5
 CLUSTER_ID_BYTES = 8
 
 
-class Joiner:
-    """Own the connections over which a new host introduces itself."""
+class ClusterJoiner:
+    """Own the connections over which a new host sends its hello requests.
+
+    ``get_cluster_id`` returns "" while the host has no cluster; ``submit`` queues an
+    event for the event loop.
+    """
 
     def __init__(
         self,
@@ -29,75 +33,80 @@
         host: str,
         address: Address,
         peers: Mapping[str, Address],
-        make_channel: Callable[[Address], Caller],
-        find_cluster: Callable[[], str],
-        give: Callable[[Event], bool],
-        may_found: bool = True,
+        make_channel: Callable[[Address], RpcChannel],
+        get_cluster_id: Callable[[], str],
+        submit: Callable[[Event], bool],
+        may_bootstrap: bool = True,
     ) -> None:
         self._name = name
         self._host = host
         self._address = address
         self._peers = peers
         self._make_channel = make_channel
-        self._find_cluster = find_cluster
-        self._give = give
-        self._may_found = may_found
-        self._referred: Address | None = None
-        # Whom this host has a channel to, by peer or address, and where hosts that
-        # answered are reached, by name.
-        self._asked: dict[str, Address] = {}
-        self._met: dict[str, Address] = {}
-        self.names = tuple(sorted({name, *peers}))
-        self._told = ""
+        self._get_cluster_id = get_cluster_id
+        self._submit = submit
+        self._may_bootstrap = may_bootstrap
+        self._leader_address: Address | None = None
+        # Addresses of the open channels, by peer name or address.
+        self._channel_addresses: dict[str, Address] = {}
+        # Addresses of the hosts that have answered, by host name.
+        self._known_addresses: dict[str, Address] = {}
+        self.configured_names = tuple(sorted({name, *peers}))
+        self._logged_wait = ""
 
     def add_peers(self, peers: Mapping[str, Address]) -> None:
-        """Ask these hosts too, from the next round on."""
+        """Send hello requests to these hosts too, from the next round on."""
         self._peers = {**self._peers, **peers}
 
     def find_address(self, name: str) -> Address | None:
-        """Return where a host that has answered is reached.
+        """Return the address of a host that has answered, or None.
 
-        A leader that the settings do not name sends this host the log before any
-        membership is known here; without its address it would hear no answer.
+        A leader that is not in the settings replicates to this host before the
+        membership is known here; without its address no reply could reach it.
         """
-        return self._met.get(name)
+        return self._known_addresses.get(name)
 
-    def run(self, is_done: Callable[[], bool]) -> None:
-        """Introduce this host to all peers until it is a member."""
-        channels: dict[str, Caller] = {}
+    def run(self, has_joined: Callable[[], bool]) -> None:
+        """Send hello requests to all peers until this host is a member."""
+        channels: dict[str, RpcChannel] = {}
         try:
             while True:
-                if is_done():
-                    gevent.sleep(DONE_PAUSE_SECONDS)
+                if has_joined():
+                    gevent.sleep(JOINED_CHECK_SECONDS)
                     continue
                 for name, address in self._peers.items():
-                    self._open(channels, name, address)
-                self._follow_referral(channels)
-                replies = self._greet(channels)
-                self._tell(replies)
-                if event := self._decide(replies):
+                    self._open_channel(channels, name, address)
+                self._open_leader_channel(channels)
+                replies = self._send_hellos(channels)
+                self._log_wait(replies)
+                if event := self._plan_bootstrap(replies):
                     log_event("cluster_founded", cluster=event.cluster, host=self._host)
-                    self._give(event)
-                gevent.sleep(HELLO_PAUSE_SECONDS)
+                    self._submit(event)
+                gevent.sleep(HELLO_INTERVAL_SECONDS)
         finally:
             for channel in channels.values():
                 channel.close()
 
-    def _follow_referral(self, channels: dict[str, Caller]) -> None:
-        """Ask the leader too, which the settings need not name."""
-        address = self._referred
+    def _open_leader_channel(self, channels: dict[str, RpcChannel]) -> None:
+        """Open a channel to the leader, which may not be in the settings."""
+        address = self._leader_address
         if address is None or address in (self._address, *self._peers.values()):
             return
-        self._open(channels, str(address), address)
+        self._open_channel(channels, str(address), address)
 
-    def _open(self, channels: dict[str, Caller], name: str, address: Address) -> None:
+    def _open_channel(
+        self, channels: dict[str, RpcChannel], name: str, address: Address
+    ) -> None:
         if name not in channels:
             channels[name] = self._make_channel(address)
-            self._asked[name] = address
+            self._channel_addresses[name] = address
 
-    def _greet(self, channels: Mapping[str, Caller]) -> dict[str, HelloReply]:
+    def _send_hellos(self, channels: Mapping[str, RpcChannel]) -> dict[str, HelloReply]:
         request = HelloRequest(
-            self._host, str(self._address), self._find_cluster(), self.names
+            self._host,
+            str(self._address),
+            self._get_cluster_id(),
+            self.configured_names,
         )
         replies: dict[str, HelloReply] = {}
         for name, channel in channels.items():
@@ -105,50 +114,57 @@
                 replies[name] = channel.call(HELLO, request, HELLO_TIMEOUT_SECONDS)
             except RpcError:
                 continue
-            self._met[name_of(replies[name].host)] = self._asked[name]
+            self._known_addresses[get_host_name(replies[name].host)] = (
+                self._channel_addresses[name]
+            )
             if replies[name].leader:
-                found = parse_address(replies[name].leader)
-                self._referred = found.value_or(self._referred)
+                leader_address = parse_address(replies[name].leader)
+                self._leader_address = leader_address.value_or(self._leader_address)
         return replies
 
-    def _tell(self, replies: Mapping[str, HelloReply]) -> None:
-        """Log once what this host waits for."""
+    def _log_wait(self, replies: Mapping[str, HelloReply]) -> None:
+        """Log what this host waits for whenever that has changed."""
         silent = ",".join(sorted(set(self._peers) - set(replies)))
         members = sorted(name for name, reply in replies.items() if reply.cluster)
-        others = sorted(
-            name for name, reply in replies.items() if reply.names != self.names
+        differing = sorted(
+            name
+            for name, reply in replies.items()
+            if reply.names != self.configured_names
         )
-        told = f"{silent}|{members}|{others}"
-        if told == self._told:
+        wait_state = f"{silent}|{members}|{differing}"
+        if wait_state == self._logged_wait:
             return
-        self._told = told
+        self._logged_wait = wait_state
         log_event(
             "waiting_for_cluster",
             host=self._host,
             silent=silent or "-",
             members=",".join(members) or "-",
-            other_peer_settings=",".join(others) or "-",
+            other_peer_settings=",".join(differing) or "-",
         )
 
-    def _decide(self, replies: Mapping[str, HelloReply]) -> Found | None:
-        """Found a cluster only when every host is there and none has ever had one.
+    def _plan_bootstrap(
+        self, replies: Mapping[str, HelloReply]
+    ) -> BootstrapCluster | None:
+        """Return a bootstrap event if every host answered and none has a cluster.
 
-        A host that cannot be asked may hold accepted records: to found without it
-        would start a second history beside the first. The lowest name founds, so that
-        only one does.
+        An unreachable host may hold committed entries: bootstrapping without it would
+        start a second, diverging log. Only the host with the lowest name bootstraps,
+        so that two hosts never do.
         """
-        if not self._may_found:
+        if not self._may_bootstrap:
             return None
-        if self._find_cluster() or self._name != self.names[0]:
+        if self._get_cluster_id() or self._name != self.configured_names[0]:
             return None
         if not set(replies) >= set(self._peers):
             return None
         if any(
-            reply.cluster or reply.names != self.names for reply in replies.values()
+            reply.cluster or reply.names != self.configured_names
+            for reply in replies.values()
         ):
             return None
         members = [Member(self._host, str(self._address), voter=True)]
         for name, reply in sorted(replies.items()):
             members.append(Member(reply.host, str(self._peers[name]), voter=True))
         cluster = secrets.token_hex(CLUSTER_ID_BYTES)
-        return Found(cluster, Membership(tuple(members)))
+        return BootstrapCluster(cluster, Membership(tuple(members)))
--- a/ibisshunt/components/consensus/links.py
+++ b/ibisshunt/components/consensus/links.py
@@ -1,4 +1,4 @@
-"""Send envelopes to the other hosts, one connection and task for each."""
+"""Send envelopes to the other hosts over one connection and task per host."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,71 +8,72 @@
 from ...helpers.logging import log_event, warn_event
 from ...helpers.mailbox import Mailbox
 from ...model.address import Address
-from ...protocol.caller import Caller
-from ...protocol.consensus import EXCHANGE, ExchangeRequest, Packed, pack
+from ...protocol.channel import RpcChannel
+from ...protocol.consensus import EXCHANGE, ExchangeRequest, PackedEnvelope, pack
 
 EXCHANGE_TIMEOUT_SECONDS = 2.0
 MAX_BATCH_ENVELOPES = 256
 MAX_BATCH_BYTES = 4 * 1024 * 1024
-WAITING_ENVELOPES = 1_024
+MAX_QUEUED_ENVELOPES = 1_024
 
-MakeChannel = Callable[[Address], Caller]
+ChannelFactory = Callable[[Address], RpcChannel]
 Spawn = Callable[..., Any]
 
 
 class Link:
     """Own the connection to one host.
 
-    Calls are made one after another: what waits meanwhile goes together in the next.
-    A call that fails loses its envelopes, which the decisions expect and mend.
+    Calls run one at a time; envelopes queued meanwhile are batched into the next call.
+    A failed call drops its envelopes: the consensus protocol tolerates message loss
+    and sends again.
     """
 
-    def __init__(self, address: Address, make_channel: MakeChannel) -> None:
+    def __init__(self, address: Address, make_channel: ChannelFactory) -> None:
         self.address = address
         self.sent_bytes = 0
-        self.lost = 0
-        self._mailbox: Mailbox[Envelope] = Mailbox(WAITING_ENVELOPES)
+        self.lost_envelopes = 0
+        self._mailbox: Mailbox[Envelope] = Mailbox(MAX_QUEUED_ENVELOPES)
         self._channel = make_channel(address)
         self.is_reachable = True
 
-    def deliver(self, envelope: Envelope) -> None:
-        """Queue an envelope; lose it when too many wait."""
+    def enqueue(self, envelope: Envelope) -> None:
+        """Queue an envelope; drop it if the queue is full."""
         if not self._mailbox.send(envelope):
-            self.lost += 1
+            self.lost_envelopes += 1
 
     def run(self) -> None:
-        """Send until the task is killed."""
+        """Send queued envelopes until the task is killed."""
         while True:
-            batch = self._gather()
+            batch = self._receive_batch()
             try:
                 request = ExchangeRequest(batch)
                 self._channel.call(EXCHANGE, request, EXCHANGE_TIMEOUT_SECONDS)
             except RpcError as error:
-                self.lost += len(batch)
-                self._note(False, error.fault.reason)
+                self.lost_envelopes += len(batch)
+                self._record_reachability(False, error.fault.reason)
                 continue
-            self._note(True, "")
+            self._record_reachability(True, "")
 
     def close(self) -> None:
         """Close the connection."""
         self._channel.close()
 
-    def _gather(self) -> tuple[Packed, ...]:
-        found: list[Packed] = []
+    def _receive_batch(self) -> tuple[PackedEnvelope, ...]:
+        batch: list[PackedEnvelope] = []
         size = 0
-        while len(found) < MAX_BATCH_ENVELOPES and size < MAX_BATCH_BYTES:
-            if found and not len(self._mailbox):
+        while len(batch) < MAX_BATCH_ENVELOPES and size < MAX_BATCH_BYTES:
+            if batch and not len(self._mailbox):
                 break
             envelope = self._mailbox.receive()
             if envelope is None:
                 continue
             packed = pack(envelope)
             size += len(packed.body)
-            found.append(packed)
+            batch.append(packed)
         self.sent_bytes += size
-        return tuple(found)
+        return tuple(batch)
 
-    def _note(self, reachable: bool, reason: str) -> None:
+    def _record_reachability(self, reachable: bool, reason: str) -> None:
         if reachable == self.is_reachable:
             return
         self.is_reachable = reachable
@@ -83,12 +84,12 @@
 
 
 class Links:
-    """Hold the links by address and make them when they are needed."""
+    """Hold the links by address; create each on first use."""
 
     def __init__(
         self,
         find_address: Callable[[str], Address | None],
-        make_channel: MakeChannel,
+        make_channel: ChannelFactory,
         spawn: Spawn,
     ) -> None:
         self._find_address = find_address
@@ -97,15 +98,15 @@
         self._links: dict[Address, Link] = {}
         self._tasks: list[Any] = []
 
-    def deliver(self, envelope: Envelope) -> None:
-        """Send an envelope without waiting."""
+    def send(self, envelope: Envelope) -> None:
+        """Queue an envelope for its receiver without blocking."""
         address = self._find_address(envelope.receiver)
         if address is None:
             return
-        self.find(address).deliver(envelope)
+        self.get_link(address).enqueue(envelope)
 
-    def find(self, address: Address) -> Link:
-        """Return the link to an address."""
+    def get_link(self, address: Address) -> Link:
+        """Return the link to an address; create it if there is none."""
         if address not in self._links:
             link = Link(address, self._make_channel)
             self._links[address] = link
@@ -113,15 +114,15 @@
         return self._links[address]
 
     def count_sent_bytes(self) -> int:
-        """Return the bytes of all messages sent."""
+        """Return the total size of the messages sent, in bytes."""
         return sum(link.sent_bytes for link in self._links.values())
 
-    def count_lost(self) -> int:
-        """Return how many envelopes were lost on this side."""
-        return sum(link.lost for link in self._links.values())
+    def count_lost_envelopes(self) -> int:
+        """Return how many envelopes this host dropped before or while sending."""
+        return sum(link.lost_envelopes for link in self._links.values())
 
     def close(self) -> None:
-        """End the tasks and connections."""
+        """Stop the tasks and close the connections."""
         for task in self._tasks:
             task.kill()
         for link in self._links.values():
--- a/ibisshunt/components/consensus/replicated_log.py
+++ b/ibisshunt/components/consensus/replicated_log.py
@@ -1,4 +1,4 @@
-"""Run the replicated log of one control host as a task."""
+"""Run the replicated log of one control host in a task."""
 
 import random
 from dataclasses import dataclass
@@ -15,80 +15,82 @@
     OutcomeUnknown,
     Propose,
     Read,
-    Remove,
+    RemoveMember,
     Role,
     Tick,
-    Transfer,
+    TransferLeadership,
 )
-from ...coordination.consensus.membership import name_of, needs_admission
+from ...coordination.consensus.membership import get_host_name, needs_to_join
 from ...coordination.consensus.state import Event
 from ...exceptions import Fault
-from ...helpers.clock import read_clock
+from ...helpers.clock import read_monotonic_clock
 from ...helpers.mailbox import Mailbox
 from ...model.address import Address, parse_address
 from ...model.settings import ControlSettings
-from ...protocol.caller import Caller
-from ..storage.store import Recovered, Store
+from ...protocol.channel import RpcChannel
+from ..storage.store import LogStore, RecoveredState
+from .disk_space import DiskSpaceMonitor
 from .driver import Driver, StateMachine
-from .forwarding import Forwarder
-from .joining import Joiner
-from .links import Links, MakeChannel, Spawn
-from .room import Room
-from .tickets import Tickets
+from .forwarding import ProposalForwarder
+from .joining import ClusterJoiner
+from .links import ChannelFactory, Links, Spawn
+from .pending_requests import PendingRequests
 
 TICK_SECONDS = 0.05
 RETRY_SECONDS = 0.05
-READ_ATTEMPT_SECONDS = 1.0
-STOP_SECONDS = 3.0
+READ_ATTEMPT_TIMEOUT_SECONDS = 1.0
+STOP_TIMEOUT_SECONDS = 3.0
 MAX_BATCH_EVENTS = 1_024
-MAX_WAITING_EVENTS = 8_192
+MAX_QUEUED_EVENTS = 8_192
 MAX_COMMAND_BYTES = 1024 * 1024
-RESERVED_BYTES = 64 * 1024 * 1024
+RESERVED_DISK_BYTES = 64 * 1024 * 1024
 
 
-def make_grpc_channel(address: Address) -> Caller:
-    """Return a gRPC channel; only those who call it pay for the import."""
+def make_grpc_channel(address: Address) -> RpcChannel:
+    """Return a gRPC channel; gRPC is only imported when this is called."""
     from ...protocol.rpc import Channel
 
     return Channel(address)
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
-    """Hold what tests and embedders may change.
-
-    ``may_found`` tells whether a host with an empty disk may found a cluster,
-    ``admit_unknown`` whether hosts that no settings name may join,
-    ``wait_for_room`` whether a full disk is waited for instead of ending the process.
+class ReplicatedLogOptions:
+    """Hold options that tests and embedders may change.
+
+    ``may_bootstrap``: a host with an empty disk may create a new cluster.
+    ``admit_unlisted_hosts``: hosts that are not in the settings may join.
+    ``wait_for_disk_space``: a write to a full disk blocks until there is space instead
+    of ending the process. ``reserved_bytes``: with less free disk space the leader
+    refuses proposals and hands leadership over.
     """
 
     consensus: ConsensusSettings = ConsensusSettings()
-    make_channel: MakeChannel = make_grpc_channel
-    reserved_bytes: int = RESERVED_BYTES
+    make_channel: ChannelFactory = make_grpc_channel
+    reserved_bytes: int = RESERVED_DISK_BYTES
     snapshot_entries: int = 1_000
-    may_found: bool = True
-    admit_unknown: bool = False
-    wait_for_room: bool = False
+    may_bootstrap: bool = True
+    admit_unlisted_hosts: bool = False
+    wait_for_disk_space: bool = False
 
 
 class ReplicatedLog:
-    """Offer the replicated log to the other services of this process."""
+    """Provide the replicated log to the other services of this process."""
 
     def __init__(
         self,
         settings: ControlSettings,
         machine: StateMachine,
-        store: Store,
-        recovered: Recovered,
+        store: LogStore,
+        recovered: RecoveredState,
         spawn: Spawn,
-        options: Options,
+        options: ReplicatedLogOptions,
     ) -> None:
         self.settings = settings
         self.options = options
         self._store = store
         self._spawn = spawn
-        self._mailbox: Mailbox[Event] = Mailbox(MAX_WAITING_EVENTS)
-        self._tickets = Tickets()
+        self._mailbox: Mailbox[Event] = Mailbox(MAX_QUEUED_EVENTS)
+        self._pending_requests = PendingRequests()
         self.links = Links(self.find_address, options.make_channel, spawn)
         self.driver = Driver(
             store,
@@ -96,137 +98,149 @@
             machine,
             options.consensus,
             random.random,
-            self.links.deliver,
-            self._tickets.answer,
-            read_clock,
+            self.links.send,
+            self._pending_requests.answer,
+            read_monotonic_clock,
             options.snapshot_entries,
         )
-        self.joiner = Joiner(
+        self.joiner = ClusterJoiner(
             settings.name,
             self.driver.host,
             settings.rpc,
             settings.peers,
             options.make_channel,
-            self._find_cluster,
-            self.give,
-            options.may_found,
+            self._get_cluster_id,
+            self.submit,
+            options.may_bootstrap,
+        )
+        self._proposal_forwarder = ProposalForwarder(options.make_channel)
+        self._disk_space = DiskSpaceMonitor(
+            store.count_free_bytes, options.reserved_bytes
         )
-        self._forwarder = Forwarder(options.make_channel)
-        self._room = Room(store.free_bytes, options.reserved_bytes)
         self._tasks: list[Any] = []
-        self._loop: Any = None
+        self._event_loop: Any = None
         self._stopping = False
         self._stopped = False
 
-    # What other services call.
+    # Interface for other services.
 
     def propose(self, command: bytes, timeout: float) -> Result[bytes, Fault]:
         """Return the reply of the state machine once the command is applied.
 
-        Any host takes proposals and passes them to the leader. ``timeout`` is in
-        seconds. The fault is NotAccepted when the command has no effect and never
-        will, OutcomeUnknown when it may have one.
+        Any host accepts proposals and forwards them to the leader. ``timeout`` is in
+        seconds. The fault is NotAccepted if the command has no effect and never will,
+        OutcomeUnknown if it may have been or may yet be committed.
         """
-        if reason := self._find_obstacle(command):
+        if reason := self._find_refusal_reason(command):
             return Failure(NotAccepted("propose", "", reason))
-        deadline = read_clock() + timeout
+        deadline = read_monotonic_clock() + timeout
         while True:
             result = self._propose_once(command, deadline)
-            refused = not is_successful(result) and isinstance(
+            is_refused = not is_successful(result) and isinstance(
                 result.failure(), NotAccepted
             )
-            # Only what certainly has no effect is tried again: a second entry of an
-            # unknown first would run twice.
-            if not refused or read_clock() + RETRY_SECONDS >= deadline:
+            # Retry only after a definite refusal: retrying an unknown outcome could
+            # apply the command twice.
+            if not is_refused or read_monotonic_clock() + RETRY_SECONDS >= deadline:
                 return result
             gevent.sleep(RETRY_SECONDS)
 
-    def propose_here(self, command: bytes, timeout: float) -> Result[bytes, Fault]:
-        """Propose on this host only, which must lead."""
-        if reason := self._find_obstacle(command):
+    def propose_locally(self, command: bytes, timeout: float) -> Result[bytes, Fault]:
+        """Propose without forwarding; this host must be the leader."""
+        if reason := self._find_refusal_reason(command):
             return Failure(NotAccepted("propose", "", reason))
-        ticket = self._tickets.draw()
-        return self._ask(Propose(ticket, command), ticket, timeout)
+        request_id = self._pending_requests.allocate()
+        return self._submit_and_wait(Propose(request_id, command), request_id, timeout)
 
     def read_barrier(self, timeout: float) -> Result[int, Fault]:
-        """Return the index up to which this host has applied a log that is not stale.
+        """Return the applied index once local reads are linearizable.
 
-        What the state machine holds afterwards includes everything that was accepted
-        before the call. Fails with NotConfirmed after ``timeout`` seconds without a
-        quorum, as behind a partition.
+        The state machine then includes every command that was accepted before the
+        call. Fails with NotConfirmed if no quorum answers within ``timeout`` seconds,
+        for example behind a network partition.
         """
-        deadline = read_clock() + timeout
-        while (left := deadline - read_clock()) > 0:
-            ticket = self._tickets.draw()
-            if not self._mailbox.send(Read(ticket)):
-                self._tickets.answer(ticket, _refuse("too many events wait"))
-            result = self._tickets.wait(ticket, min(left, READ_ATTEMPT_SECONDS))
+        deadline = read_monotonic_clock() + timeout
+        while (remaining := deadline - read_monotonic_clock()) > 0:
+            request_id = self._pending_requests.allocate()
+            if not self._mailbox.send(Read(request_id)):
+                self._pending_requests.answer(
+                    request_id, _make_not_accepted("too many events wait")
+                )
+            result = self._pending_requests.wait(
+                request_id, min(remaining, READ_ATTEMPT_TIMEOUT_SECONDS)
+            )
             if result is not None and is_successful(result):
                 return result
             gevent.sleep(RETRY_SECONDS)
-        reason = f"no quorum within {timeout} s; leader {self.leader() or 'unknown'}"
-        return Failure(NotConfirmed("confirm read", self.leader(), reason))
+        reason = (
+            f"no quorum within {timeout} s; "
+            f"leader {self.get_leader_name() or 'unknown'}"
+        )
+        return Failure(NotConfirmed("confirm read", self.get_leader_name(), reason))
 
-    def remove(self, host: str, timeout: float) -> Result[bytes, Fault]:
-        """Take a lost host, named ``name/disk``, out; only the leader can."""
-        ticket = self._tickets.draw()
-        return self._ask(Remove(ticket, host), ticket, timeout)
+    def remove_member(self, host: str, timeout: float) -> Result[bytes, Fault]:
+        """Remove a lost host, given as ``name/disk``; only the leader can."""
+        request_id = self._pending_requests.allocate()
+        return self._submit_and_wait(
+            RemoveMember(request_id, host), request_id, timeout
+        )
 
-    def leader(self) -> str:
-        """Return the name of the leader, or nothing when none is known."""
-        return name_of(self.driver.state.leader)
+    def get_leader_name(self) -> str:
+        """Return the name of the leader, or "" if none is known."""
+        return get_host_name(self.driver.state.leader)
 
-    def leader_address(self) -> Address | None:
-        """Return where the leader serves, or None when none is known."""
+    def find_leader_address(self) -> Address | None:
+        """Return the RPC address of the leader, or None if none is known."""
         leader = self.driver.state.leader
         return self.find_address(leader) if leader else None
 
-    def count_waiting(self) -> int:
+    def count_pending_requests(self) -> int:
         """Count the proposals and reads that wait for an answer."""
-        return len(self._tickets)
+        return len(self._pending_requests)
 
     def is_leading(self) -> bool:
-        """Tell whether this host is the leader as far as it knows."""
+        """Return whether this host believes that it is the leader."""
         return self.driver.state.role is Role.LEADER
 
-    # How the task runs.
+    # Task life cycle.
 
     def start(self) -> None:
-        """Begin to take part; the handlers must be served by then."""
-        self._loop = self._spawn("replicated log", self._run)
-        if not self._is_member() or self.options.admit_unknown:
+        """Start to take part in the cluster; the RPC server must already run."""
+        self._event_loop = self._spawn("replicated log", self._run)
+        if not self._is_member() or self.options.admit_unlisted_hosts:
             self._tasks.append(
                 self._spawn("join cluster", self.joiner.run, self._has_joined)
             )
 
     def stop(self) -> None:
-        """Hand the lead over, answer what waits, close the files; safe to call twice.
+        """Transfer leadership, complete open requests, close the files; idempotent.
 
-        Call it before the server stops, so that the successor can answer.
+        Call it before the RPC server stops: the next leader's messages must still
+        reach this host.
         """
         if self._stopped:
             return
         self._stopping = True
-        deadline = read_clock() + STOP_SECONDS
-        self._mailbox.send(Transfer())
-        while read_clock() < deadline and self._must_linger():
+        deadline = read_monotonic_clock() + STOP_TIMEOUT_SECONDS
+        self._mailbox.send(TransferLeadership())
+        while read_monotonic_clock() < deadline and self._must_delay_stop():
             gevent.sleep(TICK_SECONDS)
         self._stopped = True
-        if self._loop is not None:
-            self._loop.join()
+        if self._event_loop is not None:
+            self._event_loop.join()
         for task in self._tasks:
             task.kill()
         self.links.close()
-        self._forwarder.close()
+        self._proposal_forwarder.close()
         self._store.close()
 
-    def give(self, event: Event) -> bool:
-        """Queue an event; return False when too many wait."""
+    def submit(self, event: Event) -> bool:
+        """Queue an event; return False if the queue is full."""
         return self._mailbox.send(event)
 
     def find_address(self, host: str) -> Address | None:
-        """Return the address of a host that settings, members or greetings name."""
-        name = name_of(host)
+        """Return a host's address from the settings, the members or its hello reply."""
+        name = get_host_name(host)
         if name in self.settings.peers:
             return self.settings.peers[name]
         for member in self.driver.state.log.membership.members:
@@ -235,22 +249,26 @@
         return self.joiner.find_address(name)
 
     def _run(self) -> None:
-        next_tick = read_clock()
+        next_tick = read_monotonic_clock()
         while not self._stopped:
-            events = self._gather(next_tick - read_clock())
-            now = read_clock()
+            events = self._receive_batch(next_tick - read_monotonic_clock())
+            now = read_monotonic_clock()
             if now >= next_tick:
-                # First in the batch: after a pause the deadlines must be checked
-                # before messages that lay in the mailbox are believed.
+                # First in the batch: after a pause of the process, the deadlines must
+                # be checked before messages that were queued meanwhile are trusted.
                 events.insert(0, Tick())
                 next_tick = now + TICK_SECONDS
-                if self._room.check(now) and self._room.is_full and self.is_leading():
-                    events.append(Transfer())
+                if (
+                    self._disk_space.refresh(now)
+                    and self._disk_space.is_low
+                    and self.is_leading()
+                ):
+                    events.append(TransferLeadership())
             if events:
                 self.driver.step(events, now)
             gevent.sleep(0)
 
-    def _gather(self, timeout: float) -> list[Event]:
+    def _receive_batch(self, timeout: float) -> list[Event]:
         first = self._mailbox.receive(max(0.0, timeout))
         events = [] if first is None else [first]
         while events and len(events) < MAX_BATCH_EVENTS and len(self._mailbox):
@@ -260,62 +278,71 @@
         return [event for event in events if not self._is_abandoned(event)]
 
     def _is_abandoned(self, event: Event) -> bool:
-        # A proposal whose caller gave up would only delay those who still wait.
-        return isinstance(event, Propose | Read) and event.ticket not in self._tickets
+        # A request whose caller timed out would only delay those that still wait.
+        return (
+            isinstance(event, Propose | Read)
+            and event.request_id not in self._pending_requests
+        )
 
-    def _find_cluster(self) -> str:
-        return self.driver.state.hard.cluster
+    def _get_cluster_id(self) -> str:
+        return self.driver.state.hard_state.cluster
 
     def _is_member(self) -> bool:
-        return not needs_admission(self.driver.state)
+        return not needs_to_join(self.driver.state)
 
     def _has_joined(self) -> bool:
         if not self._is_member():
             return False
-        # A host that was removed while it was away still finds itself in its own log;
-        # that no leader speaks to it tells otherwise.
-        return not self.options.admit_unknown or bool(self.driver.state.leader)
+        # A host that was removed while it was down is still a member in its own log;
+        # that no leader contacts it shows the removal.
+        return not self.options.admit_unlisted_hosts or bool(self.driver.state.leader)
 
-    def _must_linger(self) -> bool:
-        if self._loop is None or self._loop.dead:
+    def _must_delay_stop(self) -> bool:
+        if self._event_loop is None or self._event_loop.dead:
             return False
-        alone = not self.driver.state.progress
-        leads = self.is_leading() and not alone
-        return leads or len(self._tickets) > 0
+        is_only_member = not self.driver.state.progress
+        can_transfer = self.is_leading() and not is_only_member
+        return can_transfer or len(self._pending_requests) > 0
 
-    # How proposals go.
+    # Proposals.
 
-    def _find_obstacle(self, command: bytes) -> str:
+    def _find_refusal_reason(self, command: bytes) -> str:
         if len(command) > MAX_COMMAND_BYTES:
-            return f"{len(command)} bytes, at most {MAX_COMMAND_BYTES} are taken"
+            return (
+                f"command is {len(command)} bytes, expected at most {MAX_COMMAND_BYTES}"
+            )
         if self._stopping:
             return "this host is stopping"
-        if self._room.is_full and self.is_leading():
-            return "the disk is nearly full; free space on the control host"
+        if self._disk_space.is_low and self.is_leading():
+            return "the disk is nearly full; free up space on the control host"
         return ""
 
     def _propose_once(self, command: bytes, deadline: float) -> Result[bytes, Fault]:
-        left = deadline - read_clock()
+        remaining = deadline - read_monotonic_clock()
         if self.is_leading():
-            return self.propose_here(command, left)
-        address = self.leader_address()
+            return self.propose_locally(command, remaining)
+        address = self.find_leader_address()
         if address is None:
-            return _refuse("no leader is known")
-        if not self.links.find(address).is_reachable:
-            # Nothing is sent, so the caller need not be told "unknown" for as long as
-            # it takes to elect the next leader.
-            return _refuse(f"the leader at {address} does not answer")
-        return self._forwarder.forward(address, command, left)
-
-    def _ask(self, event: Event, ticket: int, timeout: float) -> Result[Any, Fault]:
+            return _make_not_accepted("no leader is known")
+        if not self.links.get_link(address).is_reachable:
+            # Nothing is sent, so the outcome is not unknown: the caller can retry while
+            # the next leader is elected.
+            return _make_not_accepted(f"the leader at {address} does not answer")
+        return self._proposal_forwarder.forward(address, command, remaining)
+
+    def _submit_and_wait(
+        self, event: Event, request_id: int, timeout: float
+    ) -> Result[Any, Fault]:
         if not self._mailbox.send(event):
-            self._tickets.answer(ticket, _refuse("too many events wait"))
-        result = self._tickets.wait(ticket, timeout)
+            self._pending_requests.answer(
+                request_id, _make_not_accepted("too many events wait")
+            )
+        result = self._pending_requests.wait(request_id, timeout)
         if result is not None:
             return result
         reason = f"not committed within {timeout:.3f} s"
-        return Failure(OutcomeUnknown("propose", self.leader(), reason))
+        return Failure(OutcomeUnknown("propose", self.get_leader_name(), reason))
 
 
-def _refuse(reason: str) -> Result[Any, Fault]:
+def _make_not_accepted(reason: str) -> Result[Any, Fault]:
     return Failure(NotAccepted("propose", "", reason))
--- a/ibisshunt/components/control/__init__.py
+++ b/ibisshunt/components/control/__init__.py
@@ -1,4 +1,4 @@
-"""Keep the records and tell every node of them."""
+"""Store the records and distribute the configuration to all nodes."""
 
 from dataclasses import dataclass, replace
 from typing import Any, Final
@@ -12,24 +12,24 @@
 from ...protocol.rpc import Channel, Server
 from ...settings import ControlSettings
 from .. import consensus
-from ..consensus import Options
-from .host import Host
+from ..consensus import ReplicatedLogOptions
+from .host import ControlHost
 from .leases import LeaseHandler
 from .records import RecordHandler
 from .reports import ReportHandler
 from .state import ControlState
 from .watches import WatchHandler
 
-# Each stream holds one worker, which is a greenlet.
+# Each watch stream occupies one worker, which is a greenlet.
 MAX_STREAMS: Final = 2_048
 
 
 @dataclass(frozen=True, slots=True)
 class Control:
-    """Hold the parts of one control host; ``address`` is where it serves."""
+    """Hold the parts of one control host; ``address`` is its RPC address."""
 
     address: Address
-    host: Host
+    host: ControlHost
     leases: LeaseHandler
     watches: WatchHandler
     reports: ReportHandler
@@ -38,61 +38,70 @@
         """Return the state for a dump."""
         store = self.host.state.store
         return {
-            "leader": self.host.log.leader(),
+            "leader": self.host.log.get_leader_name(),
             "revision": store.revision,
-            "records": len(store.draft.records),
+            "records": len(store.record_set.records),
             "targets": [
                 {
                     "service": f"{target.announcement.business}"
                     f"/{target.announcement.service}",
                     "name": target.name,
                     "incarnation": target.incarnation,
-                    "state": self.leases.describe(target),
+                    "state": self.leases.get_state_text(target),
                 }
                 for target in store.list_targets()
             ],
             "streams": self.watches.streams,
             "nodes": {
-                node: found.revision for node, found in self.reports.reports.items()
+                node: report.revision for node, report in self.reports.reports.items()
             },
         }
 
 
-def make_options(settings: ControlSettings) -> Options:
-    """Return the options of the log: the hosts talk to each other under TLS too."""
+def make_log_options(settings: ControlSettings) -> ReplicatedLogOptions:
+    """Return the log options; traffic between control hosts uses TLS too."""
     credentials = make_channel_credentials(settings.tls)
-    return Options(make_channel=lambda address: Channel(address, credentials))
+    return ReplicatedLogOptions(
+        make_channel=lambda address: Channel(address, credentials)
+    )
 
 
-def leave_out_self(settings: ControlSettings) -> ControlSettings:
-    """Return the settings with the other hosts alone as peers.
+def exclude_self_from_peers(settings: ControlSettings) -> ControlSettings:
+    """Return the settings without this host among its peers.
 
-    Operators like to give all hosts one list. A host that is its own peer would count
+    Operators may give all hosts the same list. A host that is its own peer would count
     twice, and three hosts would need three for a quorum.
     """
-    others = {
+    other_hosts = {
         name: address
         for name, address in settings.peers.items()
         if name != settings.name
     }
-    return replace(settings, peers=others)
+    return replace(settings, peers=other_hosts)
 
 
 def setup(
-    kernel: Kernel, settings: ControlSettings, options: Options | None = None
+    kernel: Kernel,
+    settings: ControlSettings,
+    options: ReplicatedLogOptions | None = None,
 ) -> Control:
     """Start a control host; register it as "control" and return it.
 
-    ``options`` of the replicated log are for tests and embedders.
+    ``options`` configure the replicated log, for tests and embedders.
     """
     if not settings.admin_token_hash:
-        warn_event("control_open", reason="no admin_token_hash: anyone may change all")
-    settings = leave_out_self(settings)
+        warn_event(
+            "control_open", reason="no admin_token_hash: anyone may change any record"
+        )
+    settings = exclude_self_from_peers(settings)
     state = ControlState()
     log = consensus.setup(
-        kernel, settings, state.as_machine(), options or make_options(settings)
+        kernel,
+        settings,
+        state.make_state_machine(),
+        options or make_log_options(settings),
     )
-    host = Host(settings, state, log)
+    host = ControlHost(settings, state, log)
     records, watches, leases = (
         RecordHandler(host),
         WatchHandler(host),
@@ -105,8 +114,8 @@
         HISTORY: records.list_history,
         WATCH: watches.watch,
         ANNOUNCE: leases.announce,
-        REPORT: reports.report,
-        STATUS: reports.tell_status,
+        REPORT: reports.record_report,
+        STATUS: reports.get_status,
         **consensus.make_handlers(log),
     }
     credentials = make_server_credentials(settings.tls)
@@ -117,7 +126,8 @@
     def unload() -> None:
         task.kill()
         watches.stop()
-        # Before the server: the successor must be able to answer while it takes over.
+        # Before the server stops: the next leader must still be able to reach this host
+        # while leadership is transferred.
         log.stop()
         server.stop()
 
--- a/ibisshunt/components/control/log.py
+++ b/ibisshunt/components/control/log.py
@@ -1,4 +1,4 @@
-"""Describe the log that the handlers of a control host need."""
+"""Define the replicated log interface for the handlers of a control host."""
 
 from typing import Protocol
 
@@ -9,28 +9,28 @@
 
 
 class Log(Protocol):
-    """Agree with the other control hosts on the order of commands."""
+    """Replicate commands in one order over all control hosts."""
 
     def propose(self, command: bytes, timeout: float) -> Result[bytes, Fault]:
         """Return the state machine's reply once the command is applied."""
         ...
 
     def read_barrier(self, timeout: float) -> Result[int, Fault]:
-        """Return once this host has applied all that was accepted before the call."""
+        """Return once this host has applied all commands accepted before the call."""
         ...
 
-    def leader(self) -> str:
-        """Return the name of the leading host, or "" when none is known."""
+    def get_leader_name(self) -> str:
+        """Return the name of the leader, or "" if none is known."""
         ...
 
-    def leader_address(self) -> Address | None:
-        """Return where the leader serves, or None when none is known."""
+    def find_leader_address(self) -> Address | None:
+        """Return the RPC address of the leader, or None if none is known."""
         ...
 
     def is_leading(self) -> bool:
-        """Tell whether this host believes that it leads."""
+        """Return whether this host believes that it is the leader."""
         ...
 
     def stop(self) -> None:
-        """Let go of files and sockets."""
+        """Close files and connections."""
         ...
--- a/ibisshunt/components/control/records.py
+++ b/ibisshunt/components/control/records.py
@@ -1,4 +1,4 @@
-"""Answer operators who write and read records."""
+"""Handle requests that read or change records."""
 
 from typing import Any, Final
 
@@ -11,9 +11,9 @@
     RecordChange,
 )
 from ...coordination.records.documents import parse_document
-from ...coordination.records.draft import StoredRecord
+from ...coordination.records.record_set import StoredRecord
 from ...exceptions import Fault
-from ...helpers.clock import read_shared_clock
+from ...helpers.clock import read_wall_clock
 from ...protocol.messages import (
     ApplyReply,
     ApplyRequest,
@@ -23,27 +23,27 @@
     RecordOutcome,
 )
 from ...protocol.records import HistoryReply, HistoryRequest
-from .host import Host, hash_token
+from .host import ControlHost, hash_token
 
 MAX_DOCUMENTS: Final = 1_000
 MAX_OPERATION_CHARACTERS: Final = 128
 
 
 class RecordHandler:
-    """Answer requests about records; it keeps no state of its own."""
+    """Handle requests about records; stateless."""
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: ControlHost) -> None:
         self._host = host
 
     def apply(self, request: ApplyRequest, context: Any) -> ApplyReply:
-        """Accept changes of records, all or none."""
-        if error := _find_error(request):
+        """Apply changes of records, all or none of them."""
+        if error := _find_request_error(request):
             fault = Fault("apply records", "", error)
             context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(fault))
         store = self._host.state.store
         parsed = [parse_document(text) for text in request.documents]
         if any(result.swap().value_or(None) for result in parsed):
-            return ApplyReply(_explain_faults(parsed), store.revision)
+            return ApplyReply(_make_parse_outcomes(parsed), store.revision)
         outcome = self._change(request, parsed, context)
         results = tuple(
             RecordOutcome(result.name, result.revision, result.error)
@@ -52,17 +52,18 @@
         return ApplyReply(results, outcome.revision)
 
     def list_records(self, request: ListRequest, context: Any) -> ListReply:
-        """Return the records as they are now."""
-        self._host.pass_barrier(context)
+        """Return the current records."""
+        self._host.wait_for_read_barrier(context)
         store = self._host.state.store
-        found = store.list_records(request.business)
+        stored_records = store.list_records(request.business)
         return ListReply(
-            tuple(_show_record(stored) for stored in found), store.revision
+            tuple(_make_listed_record(stored) for stored in stored_records),
+            store.revision,
         )
 
     def list_history(self, request: HistoryRequest, context: Any) -> HistoryReply:
         """Return the latest changes."""
-        self._host.pass_barrier(context)
+        self._host.wait_for_read_barrier(context)
         store = self._host.state.store
         entries = store.history.list_entries(request.business)
         return HistoryReply(entries, store.revision)
@@ -77,47 +78,47 @@
             operation=request.operation,
             token_hash=hash_token(request.token),
             admin=self._host.is_admin(request.token),
-            now=read_shared_clock(),
+            now=read_wall_clock(),
             changes=tuple(result.unwrap() for result in parsed),
         )
         store = self._host.state.store
-        if answer := store.answers.find(command):
+        if answer := store.outcome_cache.find(command):
             return answer
         if not self._host.is_leader():
-            # A host that lags might deny a token that was granted a moment ago.
-            self._host.pass_barrier(context)
+            # A lagging follower might reject a token that was granted just before.
+            self._host.wait_for_read_barrier(context)
         outcome = store.precheck(command)
         if outcome is not None:
             return outcome
         return self._host.propose(command, ChangeOutcome, context)
 
 
-def _find_error(request: ApplyRequest) -> str:
+def _find_request_error(request: ApplyRequest) -> str:
     if not 0 < len(request.operation) <= MAX_OPERATION_CHARACTERS:
-        found = len(request.operation)
+        count = len(request.operation)
         return (
-            f"key operation: found {found} characters, "
+            f"key operation: found {count} characters, "
             f"expected 1-{MAX_OPERATION_CHARACTERS}"
         )
     if not 0 < len(request.documents) <= MAX_DOCUMENTS:
-        found = len(request.documents)
-        return f"key documents: found {found} records, expected 1-{MAX_DOCUMENTS}"
+        count = len(request.documents)
+        return f"key documents: found {count} records, expected 1-{MAX_DOCUMENTS}"
     return ""
 
 
-def _explain_faults(
+def _make_parse_outcomes(
     parsed: list[Result[RecordChange, Fault]],
 ) -> tuple[RecordOutcome, ...]:
-    undone = "not applied: another record of the request is malformed"
+    not_applied = "not applied: another record of the request is malformed"
     return tuple(
         RecordOutcome("", 0, fault.reason)
         if (fault := result.swap().value_or(None))
-        else RecordOutcome(result.unwrap().name, 0, undone)
+        else RecordOutcome(result.unwrap().name, 0, not_applied)
         for result in parsed
     )
 
 
-def _show_record(stored: StoredRecord) -> ListedRecord:
+def _make_listed_record(stored: StoredRecord) -> ListedRecord:
     record = stored.record
     return ListedRecord(
         record.kind,
--- a/ibisshunt/components/control/reports.py
+++ b/ibisshunt/components/control/reports.py
@@ -1,4 +1,4 @@
-"""Collect which revision each node has in force and tell operators."""
+"""Collect which revision is active on each node and report it to operators."""
 
 import time
 from collections.abc import Iterable
@@ -22,94 +22,94 @@
     TargetStatus,
 )
 from ...protocol.rpc import Channel
-from .host import Host
+from .host import ControlHost
 from .leases import LeaseHandler
 
 PEER_TIMEOUT_SECONDS: Final = 1.0
-# A node that was silent for so long was taken away; restarts have new names.
-FORGET_SECONDS: Final = 600.0
+# A node that was silent for this long was removed; a restarted node has a new name.
+REPORT_RETENTION_SECONDS: Final = 600.0
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Hold what a node reported, and when by the monotonic clock."""
+    """Hold a node's last report and its time by the monotonic clock, in seconds."""
 
     role: str
     revision: int
-    received: float
+    received_at: float
 
 
 class ReportHandler:
     """Own the reports of the nodes that watch this host.
 
-    Each host keeps those of its own nodes; whoever is asked for the status asks the
-    other hosts, so that reports cost no host more than its share.
+    Each host keeps the reports of its own nodes and queries the other hosts when an
+    operator asks for the status, so that the load of reports is spread.
     """
 
-    def __init__(self, host: Host, leases: LeaseHandler) -> None:
+    def __init__(self, host: ControlHost, leases: LeaseHandler) -> None:
         self.reports: dict[str, Report] = {}
         self._host = host
         self._leases = leases
 
-    def report(self, request: ReportRequest, context: Any) -> ReportReply:
-        """Note the revision that a node has in force."""
+    def record_report(self, request: ReportRequest, context: Any) -> ReportReply:
+        """Record the revision that is active on a node."""
         report = Report(request.role, request.revision, time.monotonic())
         self.reports[request.node] = report
         return ReportReply(self._host.state.store.revision)
 
-    def tell_status(self, request: StatusRequest, context: Any) -> StatusReply:
-        """Return the state of the whole system, or of this host alone."""
-        own = self._describe_own()
+    def get_status(self, request: StatusRequest, context: Any) -> StatusReply:
+        """Return the status of the whole cluster, or of this host alone."""
+        local_status = self._make_local_status()
         if request.local or not self._host.settings.peers:
-            return own
+            return local_status
         credentials = make_channel_credentials(self._host.settings.tls)
         calls = {
-            name: gevent.spawn(ask_status, address, credentials)
+            name: gevent.spawn(fetch_status, address, credentials)
             for name, address in self._host.settings.peers.items()
         }
         gevent.joinall(list(calls.values()))
         replies = {name: call.value for name, call in calls.items()}
-        return merge_status(own, self._host.log.leader(), replies)
+        return merge_status(local_status, self._host.log.get_leader_name(), replies)
 
-    def _describe_own(self) -> StatusReply:
+    def _make_local_status(self) -> StatusReply:
         store = self._host.state.store
         return StatusReply(
             revision=store.revision,
-            leader=self._host.log.leader(),
+            leader=self._host.log.get_leader_name(),
             services=tuple(
-                f"{found.service.business}/{found.service.name}"
-                for found in store.slices.values()
+                f"{slice_.service.business}/{slice_.service.name}"
+                for slice_ in store.slices.values()
             ),
             targets=tuple(
                 TargetStatus(
-                    f"{found.service.business}/{found.service.name}",
+                    f"{slice_.service.business}/{slice_.service.name}",
                     target.name,
-                    self._leases.describe(target),
+                    self._leases.get_state_text(target),
                     target.incarnation,
                     self._leases.count_flows(target.incarnation),
                 )
-                for found in store.slices.values()
-                for target in found.targets
+                for slice_ in store.slices.values()
+                for target in slice_.targets
             ),
             nodes=self._list_nodes(),
-            evacuated=tuple(sorted(store.list_evacuated())),
+            evacuated=tuple(sorted(store.list_evacuated_domains())),
         )
 
     def _list_nodes(self) -> tuple[NodeStatus, ...]:
         now = time.monotonic()
-        for node, found in list(self.reports.items()):
-            if now - found.received > FORGET_SECONDS:
+        for node, report in list(self.reports.items()):
+            if now - report.received_at > REPORT_RETENTION_SECONDS:
                 del self.reports[node]
         return tuple(
-            NodeStatus(node, found.role, found.revision, now - found.received)
-            for node, found in sorted(self.reports.items())
+            NodeStatus(node, report.role, report.revision, now - report.received_at)
+            for node, report in sorted(self.reports.items())
         )
 
 
-def ask_status(
+def fetch_status(
     address: Address, credentials: grpc.ChannelCredentials | None
 ) -> StatusReply | None:
-    """Return what one peer knows itself, or None when it does not answer."""
+    """Return the local status of one peer, or None if it does not answer."""
     channel = Channel(address, credentials)
     try:
         request = StatusRequest(local=True)
@@ -122,26 +122,32 @@
 
 
 def merge_status(
-    own: StatusReply, leader: str, replies: dict[str, StatusReply | None]
+    local_status: StatusReply, leader: str, replies: dict[str, StatusReply | None]
 ) -> StatusReply:
-    """Return one status: the targets as the leader sees them, the latest reports."""
-    answered = [reply for reply in replies.values() if reply is not None]
-    seen = replies.get(leader) or own
-    newest = max([own, *answered], key=lambda reply: reply.revision)
+    """Return one status with the leader's targets and the latest report per node."""
+    answers = [reply for reply in replies.values() if reply is not None]
+    leader_status = replies.get(leader) or local_status
+    newest = max([local_status, *answers], key=lambda reply: reply.revision)
     return replace(
         newest,
         leader=leader,
-        targets=seen.targets,
-        nodes=_keep_latest(node for reply in (own, *answered) for node in reply.nodes),
+        targets=leader_status.targets,
+        nodes=_select_latest(
+            node for reply in (local_status, *answers) for node in reply.nodes
+        ),
         unreachable=tuple(name for name, reply in replies.items() if reply is None),
     )
 
 
-def _keep_latest(nodes: Iterable[NodeStatus]) -> tuple[NodeStatus, ...]:
-    """Return one status a node: after a change of host the old one lags for good."""
+def _select_latest(nodes: Iterable[NodeStatus]) -> tuple[NodeStatus, ...]:
+    """Return the latest status per node.
+
+    After a node has switched to another control host, the previous one keeps an
+    outdated report of it.
+    """
     latest: dict[str, NodeStatus] = {}
     for node in nodes:
-        held = latest.get(node.node)
-        if held is None or node.age_seconds < held.age_seconds:
+        current = latest.get(node.node)
+        if current is None or node.age_seconds < current.age_seconds:
             latest[node.node] = node
     return tuple(latest[name] for name in sorted(latest))
--- a/ibisshunt/components/control/state.py
+++ b/ibisshunt/components/control/state.py
@@ -1,4 +1,4 @@
-"""Apply the log to the records and wake those who wait for a change."""
+"""Apply log entries to the records and wake the tasks that wait for a change."""
 
 from gevent.event import Event
 
@@ -16,52 +16,54 @@
 
 
 class ControlState:
-    """Own the record store and the sender of one host."""
+    """Own the record store and the configuration updates of one host."""
 
     def __init__(self) -> None:
         self.store = RecordStore()
         self.sender = Sender()
         self._changed = Event()
 
-    def as_machine(self) -> StateMachine:
-        """Return what the log drives."""
+    def make_state_machine(self) -> StateMachine:
+        """Return the state machine of the replicated log."""
         return StateMachine(self.apply, self.take_snapshot, self.restore)
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply one command and return its outcome.
+        """Apply one command and return its encoded outcome.
 
-        A command that cannot be read stops the process: skipping it would let this
-        host's records drift away from those of its peers.
+        Raises StorageError, which stops the process, if the command cannot be decoded:
+        skipping it would let this host's records diverge from those of its peers.
         """
-        found = decode_command(command)
-        if fault := found.swap().value_or(None):
+        decoded = decode_command(command)
+        if fault := decoded.swap().value_or(None):
             raise StorageError(Fault("apply command", f"index {index}", fault.reason))
-        before = self.store.revision
-        outcome: ChangeOutcome | TargetOutcome = self.store.apply(index, found.unwrap())
-        if self.store.revision != before:
+        previous_revision = self.store.revision
+        outcome: ChangeOutcome | TargetOutcome = self.store.apply(
+            index, decoded.unwrap()
+        )
+        if self.store.revision != previous_revision:
             self.sender.advance(self.store.configuration)
-            self.wake()
+            self.notify_waiters()
         return encode(outcome)
 
     def take_snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the encoded state."""
         return take_snapshot(self.store)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state."""
-        found = read_snapshot(data)
-        if fault := found.swap().value_or(None):
+        """Replace the state by an encoded snapshot."""
+        decoded = read_snapshot(data)
+        if fault := decoded.swap().value_or(None):
             raise StorageError(Fault("restore snapshot", "", fault.reason))
-        self.store = found.unwrap()
+        self.store = decoded.unwrap()
         self.sender.restart(self.store.configuration)
-        self.wake()
+        self.notify_waiters()
 
-    def wait_beyond(self, revision: int, timeout: float) -> None:
-        """Return when there is a newer revision, or after ``timeout`` seconds."""
+    def wait_for_revision_after(self, revision: int, timeout: float) -> None:
+        """Return once there is a newer revision, or after ``timeout`` seconds."""
         if self.store.revision <= revision:
             self._changed.wait(timeout)
 
-    def wake(self) -> None:
-        """Let all who wait look again."""
+    def notify_waiters(self) -> None:
+        """Wake all tasks that wait for a newer revision."""
         changed, self._changed = self._changed, Event()
         changed.set()
--- a/ibisshunt/components/directory/archive.py
+++ b/ibisshunt/components/directory/archive.py
@@ -1,4 +1,4 @@
-"""Keep balancers' flow entries on the disk of a control host."""
+"""Store balancers' checkpoint entries on the disk of a control host."""
 
 from collections.abc import Callable
 from typing import Any
@@ -6,62 +6,66 @@
 import gevent
 import msgspec
 
-from ...coordination.forwarding.messages import Noted, Recall
-from ...coordination.forwarding.restart.archive import GENERATIONS, FlowArchive
+from ...coordination.forwarding.messages import CheckpointEntries, RecoveryRequest
+from ...coordination.forwarding.recovery.archive import GENERATIONS, FlowArchive
 from ...exceptions import StorageError
-from ...helpers.clock import read_clock
+from ...helpers.clock import read_monotonic_clock
 from ...helpers.logging import log_event, warn_event
 from ..storage.files import Files
 from ..storage.frames import make_frame, scan_frames
-from .inner import InnerSocket
+from .internal_socket import InternalSocket
 
-PREFIX = "flows-"
-# What came since the last write is lost with the power.
+FILE_PREFIX = "flows-"
+# Interval of writes; entries received since the last one are lost in a power loss.
 SAVE_SECONDS = 0.25
-Run = Callable[[Callable[..., Any], tuple[Any, ...]], Any]
+RunBlocking = Callable[[Callable[..., Any], tuple[Any, ...]], Any]
 
 
 class ArchiveTask:
-    """Own the flow archive of one control host and its files, one a generation.
+    """Own the flow archive of one control host and its files, one for each generation.
 
-    Nothing that was promised depends on the files: what is damaged is left out, and a
-    write that fails is dropped.
+    No guarantee depends on the files: damaged ones are skipped, and a write that fails
+    is dropped.
     """
 
-    def __init__(self, inner: InnerSocket, files: Files, run: Run) -> None:
-        self._inner = inner
+    def __init__(
+        self, internal_socket: InternalSocket, files: Files, run: RunBlocking
+    ) -> None:
+        self._internal_socket = internal_socket
         self._files = files
         self._run = run
         names = self._list_names()
-        former = [self._read(name) for name in names[-GENERATIONS:]]
-        self.archive = FlowArchive(read_clock(), former)
-        self._number = 1 + max((_find_number(name) for name in names), default=0)
-        self._frames = 0
-        inner.handle(Noted, self._take_noted)
-        inner.handle(Recall, self._take_recall)
+        previous = [self._read(name) for name in names[-GENERATIONS:]]
+        self.archive = FlowArchive(read_monotonic_clock(), previous)
+        self._generation = 1 + max(
+            (_parse_generation(name) for name in names), default=0
+        )
+        self._frame_count = 0
+        internal_socket.register_handler(CheckpointEntries, self._handle_entries)
+        internal_socket.register_handler(RecoveryRequest, self._handle_recovery_request)
 
     def run_saving(self) -> None:
         """Write entries until killed."""
         while True:
             gevent.sleep(SAVE_SECONDS)
-            self.save(read_clock())
+            self.save(read_monotonic_clock())
 
     def save(self, now: float) -> None:
-        """Write what is not on disk, and remove files that are too old."""
+        """Write the entries that are not on disk, and remove old files."""
         if self.archive.rotate(now):
-            self._number += 1
-            self._frames = 0
+            self._generation += 1
+            self._frame_count = 0
             self._remove_old()
-        batches = self.archive.take_unsaved()
+        batches = self.archive.pop_unsaved()
         if not batches:
             return
-        frame = make_frame(self._frames, msgspec.msgpack.encode(batches))
+        frame = make_frame(self._frame_count, msgspec.msgpack.encode(batches))
         try:
-            self._run(self._write, (f"{PREFIX}{self._number:08}", frame))
+            self._run(self._write, (f"{FILE_PREFIX}{self._generation:08}", frame))
         except StorageError as error:
             warn_event("flows_unsaved", entries=len(batches), error=error)
             return
-        self._frames += 1
+        self._frame_count += 1
 
     def _write(self, name: str, frame: bytes) -> None:
         is_new = name not in self._files.list()
@@ -71,7 +75,7 @@
             self._files.sync_folder()
 
     def _list_names(self) -> list[str]:
-        return sorted(name for name in self._files.list() if _find_number(name))
+        return sorted(name for name in self._files.list() if _parse_generation(name))
 
     def _read(self, name: str) -> list[bytes]:
         try:
@@ -88,23 +92,23 @@
 
     def _remove_old(self) -> None:
         for name in self._list_names():
-            if _find_number(name) > self._number - GENERATIONS:
+            if _parse_generation(name) > self._generation - GENERATIONS:
                 continue
             try:
                 self._files.remove(name)
             except StorageError as error:
-                # A disk that is ill; the next generation tries again.
+                # The disk may be faulty; the next generation tries again.
                 warn_event("flows_not_removed", file=name, error=error)
 
-    def _take_noted(self, peer: str, message: Noted) -> None:
-        self.archive.take(peer, message.entries)
+    def _handle_entries(self, peer: str, message: CheckpointEntries) -> None:
+        self.archive.add_entries(peer, message.entries)
 
-    def _take_recall(self, peer: str, message: Recall) -> None:
-        for found in self.archive.recall(peer, message.first):
-            self._inner.send(peer, found)
+    def _handle_recovery_request(self, peer: str, message: RecoveryRequest) -> None:
+        for reply in self.archive.make_replies(peer, message.offset):
+            self._internal_socket.send(peer, reply)
 
 
-def _find_number(name: str) -> int:
-    """Return the number of a generation's file, 0 for another name."""
-    digits = name.removeprefix(PREFIX)
-    return int(digits) if name.startswith(PREFIX) and digits.isdigit() else 0
+def _parse_generation(name: str) -> int:
+    """Return the generation number in a file name, 0 for any other file."""
+    digits = name.removeprefix(FILE_PREFIX)
+    return int(digits) if name.startswith(FILE_PREFIX) and digits.isdigit() else 0
--- a/ibisshunt/components/directory/inner.py
+++ b/ibisshunt/components/directory/internal_socket.py
@@ -6,29 +6,29 @@
 import msgspec
 
 from ...coordination.directory.messages import (
-    Fetch,
+    Chunk,
+    FetchChunks,
     Hello,
-    Introduce,
+    HelloReply,
     Leave,
-    Notice,
-    Piece,
-    Welcome,
+    Subscribe,
+    UpdateNotice,
 )
 from ...coordination.forwarding.messages import (
+    AggregatedAnswers,
+    CheckpointEntries,
     Deliver,
-    Gathered,
-    Known,
-    Noted,
-    OnBehalf,
+    FlowAnswer,
+    FlowLocations,
+    LocationQuery,
     Ping,
     Pong,
-    Recall,
-    Recalled,
-    Relay,
-    Returned,
-    Seek,
+    RecoveryReply,
+    RecoveryRequest,
+    RejectedPacket,
+    RelayedQuery,
+    RelayRequest,
     Status,
-    Told,
 )
 from ...helpers.datagrams import DatagramSocket
 from ...helpers.logging import warn_event
@@ -38,34 +38,34 @@
 
 Message = (
     Deliver
-    | Returned
-    | Relay
-    | OnBehalf
-    | Told
-    | Gathered
-    | Seek
-    | Known
+    | RejectedPacket
+    | RelayRequest
+    | RelayedQuery
+    | FlowAnswer
+    | AggregatedAnswers
+    | LocationQuery
+    | FlowLocations
     | Status
     | Hello
-    | Welcome
+    | HelloReply
     | Leave
-    | Introduce
-    | Notice
-    | Fetch
-    | Piece
+    | Subscribe
+    | UpdateNotice
+    | FetchChunks
+    | Chunk
     | Ping
     | Pong
-    | Noted
-    | Recall
-    | Recalled
+    | CheckpointEntries
+    | RecoveryRequest
+    | RecoveryReply
 )
 Handler = Callable[[str, Any], None]
 
 
-class InnerSocket:
+class InternalSocket:
     """Own the socket at which other nodes reach this one.
 
-    All nodes use the same port, so that an address names a node.
+    All nodes use the same port, so that an address identifies a node.
     """
 
     def __init__(self, address: Address) -> None:
@@ -79,30 +79,30 @@
         self._sent = MessageCounts("sent")
         self._received = MessageCounts("received")
 
-    def handle(self, kind: type, handler: Handler) -> None:
+    def register_handler(self, message_class: type, handler: Handler) -> None:
         """Call ``handler`` with the sender's IPv4 address and each such message."""
-        self._handlers[kind] = handler
+        self._handlers[message_class] = handler
 
-    def send(self, peer: str, message: Any) -> None:
-        """Send a message without waiting; what the system refuses is lost."""
-        self.send_all((peer,), message)
+    def send(self, address: str, message: Any) -> None:
+        """Send a message without waiting; it is lost if the system rejects it."""
+        self.send_all((address,), message)
 
-    def send_all(self, peers: Collection[str], message: Any) -> None:
+    def send_all(self, addresses: Collection[str], message: Any) -> None:
         """Send one message to many nodes, as ``send`` does."""
         data = self._encode(message)
-        self._sent.add(type(message), len(peers), len(data))
-        for peer in peers:
+        self._sent.add(type(message), len(addresses), len(data))
+        for address in addresses:
             try:
-                self._socket.send_to(data, (peer, self._port))
+                self._socket.send_to(data, (address, self._port))
             except OSError as error:
-                # Datagrams get lost anyway and every message is sent again by its
-                # sender's timers; the count tells when it happens often.
-                self._note_unsent(peer, error)
+                # Datagrams may be lost anyway, and each sender repeats its messages by
+                # its own timers; the count shows if it happens often.
+                self._record_unsent(address, error)
 
-    def _note_unsent(self, peer: str, error: OSError) -> None:
+    def _record_unsent(self, address: str, error: OSError) -> None:
         self.unsent += 1
         if self.unsent & (self.unsent - 1) == 0:
-            warn_event("datagram_unsent", peer=peer, error=error, count=self.unsent)
+            warn_event("datagram_unsent", peer=address, error=error, count=self.unsent)
 
     def list_samples(self) -> Iterator[Sample]:
         """Yield the samples of the metrics page."""
@@ -111,13 +111,13 @@
 
     def run(self) -> None:
         """Serve until killed."""
-        self._socket.serve(self._take)
+        self._socket.serve(self._handle_datagram)
 
     def close(self) -> None:
         """Close the socket."""
         self._socket.close()
 
-    def _take(self, data: bytes, sender: tuple[str, int]) -> None:
+    def _handle_datagram(self, data: bytes, sender: tuple[str, int]) -> None:
         try:
             message = self._decode(data)
         except msgspec.DecodeError as error:
--- a/ibisshunt/components/directory/node.py
+++ b/ibisshunt/components/directory/node.py
@@ -1,4 +1,4 @@
-"""Keep a balancer or agent in touch: introduce it, and fetch new configurations."""
+"""Register a balancer or agent with control hosts, and fetch new configurations."""
 
 import random
 import zlib
@@ -7,205 +7,225 @@
 
 import gevent
 
-from ...coordination.directory.contacts import Contacts
-from ...coordination.directory.download import Download, make_pieces
+from ...coordination.directory.download import Download, make_chunks
 from ...coordination.directory.messages import (
-    Fetch,
-    Introduce,
+    Chunk,
+    FetchChunks,
+    HelloReply,
     Leave,
     NodeRole,
-    Notice,
-    Piece,
-    Welcome,
+    Subscribe,
+    UpdateNotice,
 )
-from ...helpers.clock import read_clock
+from ...coordination.directory.node_view import NodeView
+from ...helpers.clock import read_monotonic_clock
 from ...helpers.logging import log_event, warn_event
 from ...model.domains import DrainedDomains
-from .inner import InnerSocket
+from .internal_socket import InternalSocket
 
-# How often a node introduces itself; its answer also mends a lost notice of a new
-# configuration.
+# Interval of Hello messages; their reply also makes up for a lost update notice.
 HELLO_SECONDS = 0.7
-# The same while it knows no control host.
-FIRST_HELLO_SECONDS = 0.1
+# The same while no control host replies.
+DISCONNECTED_HELLO_SECONDS = 0.1
 TICK_SECONDS = 0.1
-# How often, and at which interval, a node that goes for good says so.
-LEAVE_TIMES = 2
-LEAVE_SECONDS = 0.05
-# How many of the nodes that were learned together a log line names: a line for each
-# would take a thin host longer than to meet them.
-FIRST_NAMED = 3
-# How long after its last answer a control host counts as heard: three introductions.
-IN_TOUCH_SECONDS = 2.2
+# Copies of a node's Leave message, and their interval.
+LEAVE_COPIES = 2
+LEAVE_INTERVAL_SECONDS = 0.05
+# Number of new nodes that a log line lists: a line for each would take a thin host
+# longer than contacting them.
+MAX_LOGGED_NODES = 3
+# How long after its last reply a control host counts as reachable: three Hello
+# intervals.
+CONTACT_TIMEOUT_SECONDS = 2.2
 
 
 class NodeDirectory:
-    """Own one node's contacts and its copy of the configuration."""
+    """Own one node's view of the fleet and its copy of the configuration.
+
+    ``apply_configuration`` gets an uncompressed configuration and returns its version,
+    or None if it is rejected. ``on_new_node`` gets the address of each node that
+    becomes known, ``on_node_list`` all nodes that control hosts list. ``is_empty``
+    tells whether the node holds no flows and will hold none.
+    """
 
     def __init__(
         self,
-        inner: InnerSocket,
+        internal_socket: InternalSocket,
         role: NodeRole,
         seeds: tuple[str, ...],
-        take_configuration: Callable[[bytes], int | None],
-        meet: Callable[[str], None],
-        domain: str = "",
-        finish_list: Callable[[frozenset[str]], None] = lambda named: None,
+        apply_configuration: Callable[[bytes], int | None],
+        on_new_node: Callable[[str], None],
+        failure_domain: str = "",
+        on_node_list: Callable[[frozenset[str]], None] = lambda listed: None,
         is_empty: Callable[[], bool] = lambda: False,
-        take_drained: Callable[[DrainedDomains], None] = lambda drained: None,
+        on_drained_domains: Callable[[DrainedDomains], None] = lambda drained: None,
     ) -> None:
-        self.contacts = Contacts(role, seeds, domain)
+        self.view = NodeView(role, seeds, failure_domain)
         self.version = 0
-        self.drained: DrainedDomains | None = None
-        self._whole = b""
+        self.drained_domains: DrainedDomains | None = None
+        self._compressed = b""
         self._download = Download()
-        self._inner = inner
-        self._take_configuration = take_configuration
-        self._meet = meet
-        self._finish_list = finish_list
+        self._internal_socket = internal_socket
+        self._apply_configuration = apply_configuration
+        self._on_new_node = on_new_node
+        self._on_node_list = on_node_list
         self._is_empty = is_empty
-        self._take_drained_there = take_drained
-        self._in_touch = False
+        self._on_drained_domains = on_drained_domains
+        self._was_in_touch = False
         self._has_left = False
-        inner.handle(Welcome, self._take_welcome)
-        inner.handle(Notice, self._take_notice)
-        inner.handle(Piece, self._take_piece)
-        inner.handle(Fetch, self._take_fetch)
-        inner.handle(Introduce, self._take_introduce)
+        internal_socket.register_handler(HelloReply, self._handle_hello_reply)
+        internal_socket.register_handler(UpdateNotice, self._handle_update_notice)
+        internal_socket.register_handler(Chunk, self._handle_chunk)
+        internal_socket.register_handler(FetchChunks, self._handle_fetch)
+        internal_socket.register_handler(Subscribe, self._handle_subscribe)
 
     def run(self) -> None:
-        """Keep in touch until killed."""
-        hello_at = 0.0
+        """Register with control hosts until killed."""
+        next_hello_at = 0.0
         while True:
-            now = read_clock()
-            if now >= hello_at:
-                hello_at = now + self._introduce(now)
-            self._ask(self._download.sweep(now))
-            self.contacts.sweep(now)
+            now = read_monotonic_clock()
+            if now >= next_hello_at:
+                next_hello_at = now + self._send_hello(now)
+            self._send_request(self._download.retry(now))
+            self.view.expire(now)
             gevent.sleep(TICK_SECONDS)
 
     def leave(self) -> None:
         """Tell all control hosts that this node goes for good."""
         self._has_left = True
-        for _ in range(LEAVE_TIMES):
-            for address in self.contacts.list_control(read_clock()):
-                self._inner.send(address, Leave())
-            gevent.sleep(LEAVE_SECONDS)
-
-    def offer(self, peer: str, version: int) -> None:
-        """Take the word that a node holds a version."""
-        self._ask(self._download.offer(peer, version, read_clock()))
+        for _ in range(LEAVE_COPIES):
+            for address in self.view.list_control_hosts(read_monotonic_clock()):
+                self._internal_socket.send(address, Leave())
+            gevent.sleep(LEAVE_INTERVAL_SECONDS)
+
+    def handle_offer(self, peer: str, version: int) -> None:
+        """Handle the offer of a version from another node."""
+        self._send_request(
+            self._download.handle_offer(peer, version, read_monotonic_clock())
+        )
 
     def is_in_touch(self) -> bool:
-        """Tell whether a control host was heard lately."""
-        return bool(self.list_heard())
+        """Return whether a control host replied lately."""
+        return bool(self.list_recent_control_hosts())
 
-    def list_heard(self) -> list[str]:
-        """Return the control hosts that were heard lately."""
-        return self.contacts.list_heard(read_clock(), IN_TOUCH_SECONDS)
+    def list_recent_control_hosts(self) -> list[str]:
+        """Return the control hosts that replied lately."""
+        return self.view.list_recent_control_hosts(
+            read_monotonic_clock(), CONTACT_TIMEOUT_SECONDS
+        )
 
-    def list_control(self) -> list[str]:
+    def list_control_hosts(self) -> list[str]:
         """Return all control hosts that are known."""
-        return self.contacts.list_control(read_clock())
+        return self.view.list_control_hosts(read_monotonic_clock())
 
     def dump(self) -> dict[str, Any]:
         """Return the state for a dump."""
-        now = read_clock()
+        now = read_monotonic_clock()
         return {
             "version": self.version,
-            "drained": self.drained,
-            "control": self.contacts.list_control(now),
-            "nodes": self.contacts.list_nodes(),
+            "drained": self.drained_domains,
+            "control": self.view.list_control_hosts(now),
+            "nodes": self.view.list_nodes(),
             "in_touch": self.is_in_touch(),
         }
 
-    def _introduce(self, now: float) -> float:
+    def _send_hello(self, now: float) -> float:
         if self._has_left:
             return HELLO_SECONDS
-        hello = self.contacts.make_hello(self.version, self._is_empty(), self.drained)
-        for address in self.contacts.list_control(now):
-            self._inner.send(address, hello)
+        hello = self.view.make_hello(
+            self.version, self._is_empty(), self.drained_domains
+        )
+        for address in self.view.list_control_hosts(now):
+            self._internal_socket.send(address, hello)
         in_touch = self.is_in_touch()
-        if in_touch != self._in_touch:
-            self._in_touch = in_touch
+        if in_touch != self._was_in_touch:
+            self._was_in_touch = in_touch
             if in_touch:
                 log_event("control_in_touch", version=self.version)
             else:
                 warn_event("control_out_of_touch", version=self.version)
-        pause = HELLO_SECONDS if in_touch else FIRST_HELLO_SECONDS
-        # Spread: all nodes of a fleet start within a moment and would else speak in
-        # the same one for ever.
+        pause = HELLO_SECONDS if in_touch else DISCONNECTED_HELLO_SECONDS
+        # Jitter: all nodes of a fleet start at about the same time and would otherwise
+        # send at the same moments for ever.
         return pause * (0.8 + 0.4 * random.random())
 
-    def _take_welcome(self, peer: str, welcome: Welcome) -> None:
-        self._take_drained(peer, welcome.drained)
-        learned = self.contacts.take(peer, welcome, read_clock())
+    def _handle_hello_reply(self, peer: str, reply: HelloReply) -> None:
+        self._update_drained_domains(peer, reply.drained_domains)
+        learned = self.view.apply_reply(peer, reply, read_monotonic_clock())
         if learned:
-            first = ",".join(learned[:FIRST_NAMED])
+            first = ",".join(learned[:MAX_LOGGED_NODES])
             log_event("nodes_learned", peer=peer, count=len(learned), first=first)
         for node in learned:
-            self._meet(node)
-        if welcome.settled:
-            named = self.contacts.list_named(read_clock(), IN_TOUCH_SECONDS)
-            self._finish_list(named)
-        self.offer(peer, welcome.version)
-
-    def _take_notice(self, peer: str, notice: Notice) -> None:
-        now = read_clock()
-        self._take_drained(peer, notice.drained)
-        self.contacts.note_control(peer, now)
+            self._on_new_node(node)
+        if reply.is_settled:
+            listed = self.view.list_listed_nodes(
+                read_monotonic_clock(), CONTACT_TIMEOUT_SECONDS
+            )
+            self._on_node_list(listed)
+        self.handle_offer(peer, reply.version)
+
+    def _handle_update_notice(self, peer: str, notice: UpdateNotice) -> None:
+        now = read_monotonic_clock()
+        self._update_drained_domains(peer, notice.drained_domains)
+        self.view.record_control_host(peer, now)
         if not self.is_in_touch():
-            # A control host that has just started: it may tell who else is there. It
-            # need not be a seed, and after an outage the seeds may be back later.
-            self._introduce(now)
-        self.offer(peer, notice.version)
-
-    def _take_drained(self, peer: str, found: DrainedDomains | None) -> None:
-        """Put drained domains in force, unless the same or newer ones are."""
-        held = self.drained
-        if found is None or (held is not None and found.revision <= held.revision):
+            # A control host that has just started may know other nodes. It need not be
+            # a seed, and after an outage the seeds may be back later.
+            self._send_hello(now)
+        self.handle_offer(peer, notice.version)
+
+    def _update_drained_domains(
+        self, peer: str, drained: DrainedDomains | None
+    ) -> None:
+        """Apply drained domains that are newer than the present ones."""
+        current = self.drained_domains
+        if drained is None or (
+            current is not None and drained.revision <= current.revision
+        ):
             return
-        self.drained = found
+        self.drained_domains = drained
         log_event(
             "drained_domains_in_force",
-            revision=found.revision,
-            domains=",".join(found.domains) or "none",
+            revision=drained.revision,
+            domains=",".join(drained.domains) or "none",
             source=peer,
         )
-        self._take_drained_there(found)
-        if held is not None:
-            # At once: control counts who is behind, and would tell this node again.
-            self._introduce(read_clock())
-
-    def _take_introduce(self, peer: str, message: Introduce) -> None:
-        self._take_drained(peer, message.drained)
-        self.contacts.note(peer, read_clock())
-        self._meet(peer)
-
-    def _take_piece(self, peer: str, piece: Piece) -> None:
-        whole, ask = self._download.take(peer, piece, read_clock())
-        self._ask(ask)
-        if whole is None:
+        self._on_drained_domains(drained)
+        if current is not None:
+            # Sent at once: control hosts would otherwise notify this node again.
+            self._send_hello(read_monotonic_clock())
+
+    def _handle_subscribe(self, peer: str, message: Subscribe) -> None:
+        self._update_drained_domains(peer, message.drained_domains)
+        self.view.record_node(peer, read_monotonic_clock())
+        self._on_new_node(peer)
+
+    def _handle_chunk(self, peer: str, chunk: Chunk) -> None:
+        compressed, request = self._download.handle_chunk(
+            peer, chunk, read_monotonic_clock()
+        )
+        self._send_request(request)
+        if compressed is None:
             return
         try:
-            version = self._take_configuration(zlib.decompress(whole))
+            version = self._apply_configuration(zlib.decompress(compressed))
         except zlib.error as error:
             warn_event("configuration_unreadable", peer=peer, error=error)
             return
         if version is None or version <= self.version:
             return
-        self.version, self._whole = version, whole
-        self._download.hold(version)
+        self.version, self._compressed = version, compressed
+        self._download.mark_active(version)
         log_event("configuration_in_force", version=version, source=peer)
-        # At once: control counts who is behind, and would tell this node again.
-        self._introduce(read_clock())
+        # Sent at once: control hosts would otherwise notify this node again.
+        self._send_hello(read_monotonic_clock())
 
-    def _take_fetch(self, peer: str, fetch: Fetch) -> None:
+    def _handle_fetch(self, peer: str, fetch: FetchChunks) -> None:
         if self.version < fetch.version:
             return
-        for piece in make_pieces(self.version, self._whole, fetch.first):
-            self._inner.send(peer, piece)
+        for chunk in make_chunks(self.version, self._compressed, fetch.first_chunk):
+            self._internal_socket.send(peer, chunk)
 
-    def _ask(self, question: tuple[str, Fetch] | None) -> None:
-        if question is not None:
-            self._inner.send(*question)
+    def _send_request(self, request: tuple[str, FetchChunks] | None) -> None:
+        if request is not None:
+            self._internal_socket.send(*request)
--- a/ibisshunt/components/forwarding/agent.py
+++ b/ibisshunt/components/forwarding/agent.py
@@ -1,4 +1,4 @@
-"""Forward packets to and from the target beside one agent."""
+"""Forward packets between balancers and the target beside one agent."""
 
 from collections.abc import Callable, Iterator
 from typing import Any
@@ -8,23 +8,26 @@
 
 from ...coordination.forwarding.addresses import unpack_addresses
 from ...coordination.forwarding.agent import Action, Agent
-from ...coordination.forwarding.holding.incarnations import Announcement, Word
 from ...coordination.forwarding.messages import (
-    Ask,
     Deliver,
-    OnBehalf,
+    FlowAnswer,
+    FlowQuery,
     Ping,
     Pong,
     Probe,
-    Relay,
-    Send,
+    RelayedQuery,
+    RelayRequest,
+    SendMessage,
+    SendToTarget,
     TargetState,
-    Told,
-    ToTarget,
 )
-from ...coordination.forwarding.searching.gathering import Gatherings
+from ...coordination.forwarding.search.aggregation import AnswerAggregator
 from ...coordination.forwarding.segment import Segment
-from ...helpers.clock import read_clock
+from ...coordination.forwarding.target_tracking.incarnations import (
+    Heartbeat,
+    HeartbeatKind,
+)
+from ...helpers.clock import read_monotonic_clock
 from ...helpers.datagrams import DatagramSocket
 from ...helpers.decisions import DecisionLog
 from ...helpers.logging import warn_event
@@ -32,23 +35,24 @@
 from ...model.domains import DrainedDomains
 from ...model.node import NodeSettings
 from ...protocol.segments import SegmentCodec
-from ..directory.inner import InnerSocket
+from ..directory.internal_socket import InternalSocket
 from .agent_samples import list_agent_samples
 
-# How often balancers hear of the target.
+# Interval of statuses to balancers.
 STATUS_SECONDS = 0.4
-# How soon balancers hear that the requests at work have changed by a slot or more. The
-# part for each balancer bounds what all agents together send to a thin one.
-CHANGE_SECONDS = 0.08
-CHANGE_SECONDS_EACH = 0.008
+# Shortest interval of statuses when the requests in progress have changed by a slot or
+# more. The part for each balancer bounds what all agents together send to a thin one.
+MIN_STATUS_SECONDS = 0.08
+STATUS_SECONDS_PER_BALANCER = 0.008
 TICK_SECONDS = 0.04
-# How often gathered answers are looked at while any are gathered.
-GATHER_TICK_SECONDS = 0.01
-# How long a stop waits for the requests at work.
-STOP_SECONDS = 2.0
+# Interval at which pending aggregations are checked.
+AGGREGATION_TICK_SECONDS = 0.01
+# How long a stop waits for the requests in progress.
+STOP_TIMEOUT_SECONDS = 2.0
 
 
-# What changes an agent's belief in its target, or contradicts it.
+# Events that change an agent's view of its target, or contradict it; they have a log
+# budget of their own.
 RARE_EVENTS = frozenset(
     (
         "target_state",
@@ -70,129 +74,139 @@
         self,
         settings: NodeSettings,
         codec: SegmentCodec,
-        inner: InnerSocket,
+        internal_socket: InternalSocket,
         list_balancers: Callable[[], list[str]],
     ) -> None:
-        if settings.outward is None or settings.target is None:
-            raise ValueError("an agent needs its outward address and its target's")
+        if settings.outbound_address is None or settings.target is None:
+            raise ValueError("agent settings lack 'outward' or 'target', expected both")
         if settings.packets is None:
-            raise ValueError("an agent needs the port at which callers are reached")
-        now = read_clock()
-        self.log = DecisionLog(rare=RARE_EVENTS)
-        self.service = LatencyHistogram("ibisshunt_answer_seconds")
+            raise ValueError("agent settings lack 'packets', expected an address")
+        now = read_monotonic_clock()
+        self.log = DecisionLog(rare_events=RARE_EVENTS)
+        self.service_histogram = LatencyHistogram("ibisshunt_answer_seconds")
         self.agent = Agent(
             settings.service,
             int(now * 1000),
-            settings.heartbeat,
+            settings.heartbeat_seconds,
             now,
-            self.log.tell_event,
-            settings.max_flow,
-            self.service.observe,
+            self.log.log_event,
+            settings.max_flow_seconds,
+            self.service_histogram.observe,
             settings.failure_domain,
-            settings.cold_overage,
-            settings.cold_slack,
+            settings.warmup_overage,
+            settings.warmup_slack,
         )
-        self.unreadable = 0
-        # Heartbeats and last words that were refused.
-        self.refused_words = 0
+        self.unreadable_packets = 0
+        # Heartbeats and leave messages that were rejected.
+        self.rejected_messages = 0
         self._codec = codec
-        self._inner = inner
+        self._internal_socket = internal_socket
         self._list_balancers = list_balancers
         self._address = settings.address
         self._caller_port = settings.packets.port
         self._target = settings.target.as_pair()
-        self._socket = DatagramSocket(settings.outward)
-        self._gatherings = Gatherings()
-        self._gathers = Event()
-        self._status_at = 0.0
-        self._told_at = 0.0
-        self._told_load = 0
-        inner.handle(Deliver, self._take_delivery)
-        inner.handle(Relay, self._take_relay)
-        inner.handle(OnBehalf, self._take_relayed)
-        inner.handle(Told, self._take_told)
-        inner.handle(Ping, self._take_ping)
+        self._socket = DatagramSocket(settings.outbound_address)
+        self._aggregator = AnswerAggregator()
+        self._has_pending_answers = Event()
+        self._next_status_at = 0.0
+        self._last_status_at = 0.0
+        self._last_reported_load = 0
+        internal_socket.register_handler(Deliver, self._handle_delivery)
+        internal_socket.register_handler(RelayRequest, self._handle_relay_request)
+        internal_socket.register_handler(RelayedQuery, self._handle_relayed_query)
+        internal_socket.register_handler(FlowAnswer, self._handle_flow_answer)
+        internal_socket.register_handler(Ping, self._handle_ping)
 
     def run(self) -> None:
         """Serve the target until killed."""
-        self._socket.serve(self._take_outward)
+        self._socket.serve(self._handle_target_packet)
 
     def run_status(self) -> None:
-        """Tell balancers of the target until killed."""
+        """Send the target's status to balancers until killed."""
         while True:
-            now = read_clock()
-            if self.agent.sweep(now):
-                self.tell_all()
-            if now >= self._status_at or self._has_changed(now):
-                self.tell_all()
+            now = read_monotonic_clock()
+            if self.agent.tick(now):
+                self.broadcast_status()
+            if now >= self._next_status_at or self._has_load_changed(now):
+                self.broadcast_status()
             gevent.sleep(TICK_SECONDS)
 
-    def run_gathering(self) -> None:
-        """Send on the answers that were gathered until killed."""
+    def run_aggregation(self) -> None:
+        """Send aggregated answers until killed."""
         while True:
-            self._gathers.wait()
-            gevent.sleep(GATHER_TICK_SECONDS)
-            for action in self._gatherings.sweep(read_clock()):
-                self._carry_out(action)
-            if not self._gatherings:
-                self._gathers.clear()
-
-    def _has_changed(self, now: float) -> bool:
+            self._has_pending_answers.wait()
+            gevent.sleep(AGGREGATION_TICK_SECONDS)
+            for action in self._aggregator.flush_due(read_monotonic_clock()):
+                self._execute(action)
+            if not self._aggregator:
+                self._has_pending_answers.clear()
+
+    def _has_load_changed(self, now: float) -> bool:
         balancers = len(self._list_balancers())
-        if now < self._told_at + CHANGE_SECONDS + CHANGE_SECONDS_EACH * balancers:
+        if (
+            now
+            < self._last_status_at
+            + MIN_STATUS_SECONDS
+            + STATUS_SECONDS_PER_BALANCER * balancers
+        ):
             return False
-        change = abs(self.agent.count_load(now) - self._told_load)
-        return change >= self.agent.requests.slots
+        change = abs(self.agent.count_load(now) - self._last_reported_load)
+        return change >= self.agent.request_tracker.slots
 
-    def tell_all(self) -> None:
+    def broadcast_status(self) -> None:
         """Send the present status to all balancers."""
-        now = read_clock()
-        self._status_at = now + STATUS_SECONDS
-        self._told_at = now
-        self._told_load = self.agent.count_load(now)
-        status = self.agent.report(now)
-        self._inner.send_all(self._list_balancers(), status)
-
-    def meet(self, peer: str) -> None:
-        """Tell a balancer that has just come of the target."""
-        for message in self.agent.introduce(self._address, read_clock()):
-            self._inner.send(peer, message)
-
-    def announce(self, found: Announcement) -> Word:
-        """Take a heartbeat of the target; balancers hear of a change at once."""
-        before = self.agent.state
-        word = self.agent.announce(found, read_clock())
-        if word == Word.SUCCESSOR or self.agent.state != before:
-            self.tell_all()
-        return word
-
-    def leave(self, name: str, born: int | None) -> None:
-        """Take the target's last word."""
-        if self.agent.leave(name, born):
-            self.tell_all()
-
-    def note_refused(self, name: str, reason: str) -> None:
-        """Count and log a word that was damaged, or not of the target here."""
-        self.refused_words += 1
-        self.log.tell_event("word_refused", target=name, reason=reason)
-
-    def take_drained(self, drained: DrainedDomains) -> None:
-        """Take the drained domains; balancers hear of a change at once."""
-        if self.agent.take_drained(drained):
-            self.tell_all()
-
-    def has_lost_target(self) -> bool:
-        """Tell whether the target has gone for good: it said so, or was long silent."""
+        now = read_monotonic_clock()
+        self._next_status_at = now + STATUS_SECONDS
+        self._last_status_at = now
+        self._last_reported_load = self.agent.count_load(now)
+        status = self.agent.make_status(now)
+        self._internal_socket.send_all(self._list_balancers(), status)
+
+    def introduce_to(self, peer: str) -> None:
+        """Send the target's status to a balancer that is new."""
+        for message in self.agent.make_introduction(
+            self._address, read_monotonic_clock()
+        ):
+            self._internal_socket.send(peer, message)
+
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatKind:
+        """Handle a heartbeat of the target; notify balancers of a change at once."""
+        previous_state = self.agent.state
+        kind = self.agent.handle_heartbeat(heartbeat, read_monotonic_clock())
+        if kind == HeartbeatKind.NEW_INCARNATION or self.agent.state != previous_state:
+            self.broadcast_status()
+        return kind
+
+    def handle_leave(self, name: str, start_time_ms: int | None) -> None:
+        """Handle the target's leave message."""
+        if self.agent.handle_leave(name, start_time_ms):
+            self.broadcast_status()
+
+    def record_rejected_message(self, name: str, reason: str) -> None:
+        """Count and log a message that was damaged, or not from the local target."""
+        self.rejected_messages += 1
+        self.log.log_event("word_refused", target=name, reason=reason)
+
+    def update_drained_domains(self, drained: DrainedDomains) -> None:
+        """Update the drained domains; notify balancers of a change at once."""
+        if self.agent.update_drained_domains(drained):
+            self.broadcast_status()
+
+    def is_target_gone(self) -> bool:
+        """Return whether the target has gone for good: it left, or was long silent."""
         return self.agent.state == TargetState.GONE
 
     def stop(self) -> None:
-        """Take no more flows, and wait for the requests at work, 2 s at most."""
-        self.agent.pause(read_clock())
-        self.tell_all()
-        deadline = read_clock() + STOP_SECONDS
-        while read_clock() < deadline and self.agent.requests.active:
+        """Accept no more flows, and wait for the requests in progress, 2 s at most."""
+        self.agent.pause(read_monotonic_clock())
+        self.broadcast_status()
+        deadline = read_monotonic_clock() + STOP_TIMEOUT_SECONDS
+        while (
+            read_monotonic_clock() < deadline
+            and self.agent.request_tracker.active_count
+        ):
             gevent.sleep(TICK_SECONDS)
-        self.tell_all()
+        self.broadcast_status()
 
     def close(self) -> None:
         """Close the socket."""
@@ -201,7 +215,7 @@
     def list_samples(self) -> Iterator[Sample]:
         """Yield the samples of the metrics page."""
         return list_agent_samples(
-            self.agent, self.log, self.service, self.refused_words
+            self.agent, self.log, self.service_histogram, self.rejected_messages
         )
 
     def dump(self) -> dict[str, Any]:
@@ -210,84 +224,91 @@
         return {
             "service": agent.service,
             "state": agent.state.name,
-            "domain": agent.domain,
+            "domain": agent.failure_domain,
             "domain_drained": agent.target.is_drained,
             "flows": len(agent.flows),
-            "active": agent.requests.active,
-            "finished": agent.requests.finished,
-            "mean_seconds": agent.requests.mean_seconds,
+            "active": agent.request_tracker.active_count,
+            "finished": agent.request_tracker.answered_count,
+            "mean_seconds": agent.request_tracker.mean_service_seconds,
         }
 
-    def _take_delivery(self, peer: str, message: Deliver) -> None:
-        segment = self._read(message.packet)
+    def _handle_delivery(self, peer: str, message: Deliver) -> None:
+        segment = self._parse_packet(message.packet)
         if segment is None:
             return
-        action = self.agent.take(peer, message, segment, read_clock())
+        action = self.agent.handle_packet(
+            peer, message, segment, read_monotonic_clock()
+        )
         if action is not None:
-            self._carry_out(action)
+            self._execute(action)
 
-    def _read(self, packet: bytes) -> Segment | None:
-        """Return a caller's packet, or count it when it cannot be read."""
-        segment = self._codec.parse_inward(packet)
+    def _parse_packet(self, packet: bytes) -> Segment | None:
+        """Return a caller's packet, or count it if it cannot be parsed."""
+        segment = self._codec.parse_caller_packet(packet)
         if segment is None:
-            self.unreadable += 1
+            self.unreadable_packets += 1
         return segment
 
-    def _take_relay(self, peer: str, message: Relay) -> None:
-        key = self._find_key(message.question)
+    def _handle_relay_request(self, peer: str, message: RelayRequest) -> None:
+        key = self._get_flow_key(message.query)
         if key is None:
             return
-        asked = unpack_addresses(message.to)
-        self._gatherings.begin(peer, message.number, key, asked, read_clock())
-        self._gathers.set()
-        self._inner.send_all(asked, OnBehalf(message.question))
-
-    def _find_key(self, question: Ask | Probe) -> bytes | None:
-        if isinstance(question, Ask):
-            return question.key
-        segment = self._read(question.packet)
+        agents = unpack_addresses(message.agents)
+        self._aggregator.start(
+            peer, message.round_id, key, agents, read_monotonic_clock()
+        )
+        self._has_pending_answers.set()
+        self._internal_socket.send_all(agents, RelayedQuery(message.query))
+
+    def _get_flow_key(self, query: FlowQuery | Probe) -> bytes | None:
+        if isinstance(query, FlowQuery):
+            return query.key
+        segment = self._parse_packet(query.packet)
         return segment.key if segment else None
 
-    def _take_relayed(self, peer: str, message: OnBehalf) -> None:
-        question, now = message.question, read_clock()
-        if isinstance(question, Ask):
-            self._inner.send(peer, self.agent.tell(question, now))
+    def _handle_relayed_query(self, peer: str, message: RelayedQuery) -> None:
+        query, now = message.query, read_monotonic_clock()
+        if isinstance(query, FlowQuery):
+            self._internal_socket.send(peer, self.agent.answer_query(query, now))
             return
-        if segment := self._read(question.packet):
-            self._carry_out(self.agent.take_probe(peer, question, segment, now))
+        if segment := self._parse_packet(query.packet):
+            self._execute(self.agent.handle_probe(peer, query, segment, now))
 
-    def _take_ping(self, peer: str, message: Ping) -> None:
-        self._inner.send(peer, Pong(message.number))
+    def _handle_ping(self, peer: str, message: Ping) -> None:
+        self._internal_socket.send(peer, Pong(message.sequence))
 
-    def _take_told(self, peer: str, told: Told) -> None:
-        for action in self._gatherings.take(peer, told, read_clock()):
-            self._carry_out(action)
+    def _handle_flow_answer(self, peer: str, answer: FlowAnswer) -> None:
+        for action in self._aggregator.add_answer(peer, answer, read_monotonic_clock()):
+            self._execute(action)
 
-    def _take_outward(self, data: bytes, sender: tuple[str, int]) -> None:
-        segment = self._codec.parse_outward(data)
+    def _handle_target_packet(self, data: bytes, sender: tuple[str, int]) -> None:
+        segment = self._codec.parse_target_packet(data)
         if segment is None:
-            self.unreadable += 1
+            self.unreadable_packets += 1
             return
-        now = read_clock()
-        for action in self.agent.take_outward(segment, now):
-            self._carry_out(action)
-        if waiting := self.agent.take_waiting(now):
-            self._inner.send(waiting, self.agent.report(now))
-
-    def _carry_out(self, action: Action) -> None:
-        if isinstance(action, Send):
-            self._inner.send(action.peer, action.message)
+        now = read_monotonic_clock()
+        for action in self.agent.handle_target_packet(segment, now):
+            self._execute(action)
+        if balancer := self.agent.pop_waiting_balancer(now):
+            self._internal_socket.send(balancer, self.agent.make_status(now))
+
+    def _execute(self, action: Action) -> None:
+        if isinstance(action, SendMessage):
+            self._internal_socket.send(action.peer, action.message)
             return
         segment = action.segment
-        if isinstance(action, ToTarget):
-            origin = bytes(int(part) for part in action.origin.split("."))
-            packet, where = self._codec.mark(segment, origin), self._target
+        if isinstance(action, SendToTarget):
+            balancer = bytes(int(part) for part in action.balancer.split("."))
+            packet, destination = (
+                self._codec.mark_balancer(segment, balancer),
+                self._target,
+            )
         else:
-            caller = self._codec.find_caller(segment)
-            packet, where = segment.raw, (caller, self._caller_port)
+            caller = self._codec.get_caller_address(segment)
+            packet, destination = segment.packet, (caller, self._caller_port)
         try:
-            self._socket.send_to(packet, where)
+            self._socket.send_to(packet, destination)
         except OSError as error:
-            # Both ends send again what is lost; a target that is gone shows in its
+            # Both ends retransmit what is lost; a target that is gone shows in its
             # heartbeats.
-            warn_event("packet_unsent", peer=where[0], error=error)
+            warn_event("packet_unsent", peer=destination[0], error=error)
--- a/ibisshunt/components/forwarding/agent_samples.py
+++ b/ibisshunt/components/forwarding/agent_samples.py
@@ -1,6 +1,7 @@
-"""Give the counters of an agent as samples for the metrics page.
+"""Provide the counters of an agent as samples for the metrics page.
 
-Apart from a balancer's: an agent's start would else import all that a balancer decides.
+Separate from a balancer's: otherwise the start of an agent would import all of a
+balancer's modules.
 """
 
 from collections.abc import Iterator
@@ -13,19 +14,26 @@
 
 
 def list_agent_samples(
-    agent: Agent, log: DecisionLog, service: LatencyHistogram, refused_words: int
+    agent: Agent,
+    log: DecisionLog,
+    service_histogram: LatencyHistogram,
+    rejected_messages: int,
 ) -> Iterator[Sample]:
     """Yield what an agent counted, and how long its target took to answer."""
     yield Sample("ibisshunt_held_flows", GAUGE, {}, len(agent.flows))
-    yield Sample("ibisshunt_active_requests", GAUGE, {}, agent.requests.active)
-    finished = agent.requests.finished
+    yield Sample(
+        "ibisshunt_active_requests", GAUGE, {}, agent.request_tracker.active_count
+    )
+    finished = agent.request_tracker.answered_count
     yield Sample("ibisshunt_answered_requests_total", COUNTER, {}, finished)
-    yield Sample("ibisshunt_packets_delivered_total", COUNTER, {}, agent.delivered)
-    yield Sample("ibisshunt_packets_sent_back_total", COUNTER, {}, agent.returned)
+    yield Sample(
+        "ibisshunt_packets_delivered_total", COUNTER, {}, agent.delivered_count
+    )
+    yield Sample("ibisshunt_packets_sent_back_total", COUNTER, {}, agent.rejected_count)
     yield Sample("ibisshunt_target_state", GAUGE, {}, int(agent.state))
     yield Sample("ibisshunt_configuration_version", GAUGE, {}, agent.routes.version)
     drained = int(agent.target.is_drained is not False)
     yield Sample("ibisshunt_own_domain_drained", GAUGE, {}, drained)
-    yield Sample("ibisshunt_refused_words_total", COUNTER, {}, refused_words)
-    yield Sample("ibisshunt_lines_left_out_total", COUNTER, {}, log.left_out)
-    yield from service.list_samples()
+    yield Sample("ibisshunt_refused_words_total", COUNTER, {}, rejected_messages)
+    yield Sample("ibisshunt_lines_left_out_total", COUNTER, {}, log.suppressed_count)
+    yield from service_histogram.list_samples()
