--- a/ibisshunt/components/forwarding/balancer.py
+++ b/ibisshunt/components/forwarding/balancer.py
@@ -6,42 +6,43 @@
 
 import gevent
 
-from ...coordination.directory.messages import Introduce
+from ...coordination.directory.messages import Subscribe
 from ...coordination.forwarding.balancer import Action, Balancer
 from ...coordination.forwarding.messages import (
-    Gathered,
-    Known,
+    AggregatedAnswers,
+    FlowLocations,
+    LocationQuery,
     Pong,
-    Reset,
-    Returned,
-    Seek,
-    Send,
+    RejectedPacket,
+    ResetFlow,
+    SendMessage,
     Status,
 )
 from ...coordination.forwarding.routes import RouteTable
-from ...helpers.clock import read_clock
+from ...helpers.clock import read_monotonic_clock
 from ...helpers.datagrams import DatagramSocket
 from ...helpers.decisions import DecisionLog
 from ...helpers.samples import LatencyHistogram, Sample
 from ...model.domains import DrainedDomains
 from ...model.node import NodeSettings
 from ...protocol.segments import SegmentCodec
-from ..directory.inner import InnerSocket
+from ..directory.internal_socket import InternalSocket
 from .balancer_samples import list_balancer_samples
 
-# How often searches go on and old flows are forgotten.
-SWEEP_SECONDS = 0.02
-IDLE_SWEEP_SECONDS = 0.1
-# A balancer that stops forwards until callers have left it for this long: a few packets
-# of each open flow would come in it.
-QUIET_SECONDS = 0.4
-# How long it goes on at least and at most. Routers leave a host out after two misses of
-# a probe, but use all hosts of a domain when too few are in rotation.
-LEAVE_SECONDS = 1.3
-STOP_SECONDS = 5.0
+# Interval at which searches advance and old flows expire.
+TICK_SECONDS = 0.02
+IDLE_TICK_SECONDS = 0.1
+# A balancer that stops forwards until no packet has arrived for this long: a few
+# packets of each open flow would arrive in it.
+QUIET_PERIOD_SECONDS = 0.4
+# How long it forwards at least and at most. Routers remove a host after two failed
+# probes, but use all hosts of a domain when too few are in rotation.
+MIN_DRAIN_SECONDS = 1.3
+MAX_DRAIN_SECONDS = 5.0
 
 
-# What changes a balancer's belief in its targets.
+# Events that change a balancer's view of its targets; they have a log budget of their
+# own.
 RARE_EVENTS = frozenset(
     ("target_learned", "target_doubted", "target_deaf", "target_forgotten")
 )
@@ -51,88 +52,96 @@
     """Own the packet socket and the decisions of one balancer."""
 
     def __init__(
-        self, settings: NodeSettings, codec: SegmentCodec, inner: InnerSocket
+        self,
+        settings: NodeSettings,
+        codec: SegmentCodec,
+        internal_socket: InternalSocket,
     ) -> None:
         if settings.packets is None:
-            raise ValueError("a balancer needs an address for packets")
-        self.log = DecisionLog(rare=RARE_EVENTS)
-        self.held = LatencyHistogram("ibisshunt_held_opening_seconds")
+            raise ValueError("balancer settings lack 'packets', expected an address")
+        self.log = DecisionLog(rare_events=RARE_EVENTS)
+        self.queue_time_histogram = LatencyHistogram("ibisshunt_held_opening_seconds")
         self.balancer = Balancer(
-            random.random, self.log.tell_event, read_clock(), self.held.observe
+            random.random,
+            self.log.log_event,
+            read_monotonic_clock(),
+            self.queue_time_histogram.observe,
         )
-        self.packets = 0
-        # The directory, which knows who is in the same failure domain, is made after
-        # this task: other balancers, and agents.
+        self.packet_count = 0
+        # Other balancers and agents of the same failure domain; set by the directory,
+        # which is created after this task.
         self.list_peers: Callable[[], tuple[str, ...]] = tuple
-        self.list_near: Callable[[], frozenset[str]] = frozenset
-        self.find_drained: Callable[[], DrainedDomains | None] = lambda: None
-        self.unreadable = 0
-        self._packet_at = read_clock()
+        self.list_same_domain_agents: Callable[[], frozenset[str]] = frozenset
+        self.get_drained_domains: Callable[[], DrainedDomains | None] = lambda: None
+        self.unreadable_packets = 0
+        self._last_packet_at = read_monotonic_clock()
         self._codec = codec
-        self._inner = inner
+        self._internal_socket = internal_socket
         self._port = settings.packets.port
         self._socket = DatagramSocket(settings.packets)
-        inner.handle(Status, self._take_status)
-        inner.handle(Returned, self._take_returned)
-        inner.handle(Gathered, self._take_gathered)
-        inner.handle(Seek, self._take_seek)
-        inner.handle(Known, self._take_known)
-        inner.handle(Pong, self._take_pong)
+        internal_socket.register_handler(Status, self._handle_status)
+        internal_socket.register_handler(RejectedPacket, self._handle_rejected_packet)
+        internal_socket.register_handler(
+            AggregatedAnswers, self._handle_aggregated_answers
+        )
+        internal_socket.register_handler(LocationQuery, self._handle_location_query)
+        internal_socket.register_handler(FlowLocations, self._handle_flow_locations)
+        internal_socket.register_handler(Pong, self._handle_pong)
 
     def run(self) -> None:
         """Serve callers until killed."""
-        self._socket.serve(self._take_packet)
+        self._socket.serve(self._handle_packet)
 
-    def run_sweep(self) -> None:
-        """Go on with searches until killed."""
+    def run_tick(self) -> None:
+        """Advance searches and timers until killed."""
         while True:
             self.balancer.peers = self.list_peers()
-            self.balancer.state.near = self.list_near()
-            busy = self.balancer.is_busy()
-            gevent.sleep(SWEEP_SECONDS if busy else IDLE_SWEEP_SECONDS)
-            self._carry_out(self.balancer.sweep(read_clock()))
+            self.balancer.state.same_domain_agents = self.list_same_domain_agents()
+            is_busy = self.balancer.has_pending_work()
+            gevent.sleep(TICK_SECONDS if is_busy else IDLE_TICK_SECONDS)
+            self._execute(self.balancer.tick(read_monotonic_clock()))
 
-    def take_routes(self, routes: RouteTable) -> None:
-        """Put a configuration in force."""
-        self.balancer.take_routes(routes)
-        self._carry_out(self.balancer.sweep(read_clock()))
+    def update_routes(self, routes: RouteTable) -> None:
+        """Activate a configuration."""
+        self.balancer.update_routes(routes)
+        self._execute(self.balancer.tick(read_monotonic_clock()))
 
-    def meet(self, peer: str) -> None:
+    def add_agent(self, peer: str) -> None:
         """Ask a new agent for its status."""
-        self.balancer.expect(peer, read_clock())
-        self._inner.send(peer, Introduce(self.find_drained()))
+        self.balancer.expect_agent(peer, read_monotonic_clock())
+        self._internal_socket.send(peer, Subscribe(self.get_drained_domains()))
 
-    def finish_list(self, named: frozenset[str]) -> None:
-        """Take the list of all agents from control."""
-        self.balancer.finish_list(named)
+    def apply_agent_list(self, listed: frozenset[str]) -> None:
+        """Apply the complete list of agents from control hosts."""
+        self.balancer.apply_agent_list(listed)
 
-    def is_usable(self) -> bool:
-        """Tell whether this balancer could place a flow."""
-        return self.balancer.is_usable(read_clock())
+    def can_place_flows(self) -> bool:
+        """Return whether this balancer could place a flow."""
+        return self.balancer.can_place_flows(read_monotonic_clock())
 
-    def wait_until_left(self) -> None:
-        """Go on forwarding until routers send no packets any more, 5 s at most.
+    def drain_traffic(self) -> None:
+        """Forward until routers send no more packets, 5 s at most.
 
-        Routers that have too few nodes send packets to this one though it is not
+        Routers that have too few nodes send packets to this one although it is not
         ready; a listener that closes then costs each caller 1.4 s.
         """
-        self.hand_over()
-        started_at = read_clock()
-        while (now := read_clock()) < started_at + STOP_SECONDS:
-            quiet = now >= self._packet_at + QUIET_SECONDS
-            if quiet and now >= started_at + LEAVE_SECONDS:
+        self.send_flows_to_peers()
+        started_at = read_monotonic_clock()
+        while (now := read_monotonic_clock()) < started_at + MAX_DRAIN_SECONDS:
+            is_quiet = now >= self._last_packet_at + QUIET_PERIOD_SECONDS
+            if is_quiet and now >= started_at + MIN_DRAIN_SECONDS:
                 return
-            gevent.sleep(QUIET_SECONDS / 4)
+            gevent.sleep(QUIET_PERIOD_SECONDS / 4)
 
-    def hand_over(self) -> None:
-        """Tell the balancers that take over where all flows are.
+    def send_flows_to_peers(self) -> None:
+        """Send the locations of all flows to the balancers that take over.
 
-        Each would else have to ask every agent for every flow, at the moment when the
-        load of this balancer comes to them.
+        Each would otherwise have to query every agent for every flow, at the moment
+        when the load of this balancer moves to them.
         """
-        for message in self.balancer.list_known():
+        for message in self.balancer.export_flow_locations():
             for peer in self.balancer.peers:
-                self._inner.send(peer, message)
+                self._internal_socket.send(peer, message)
 
     def close(self) -> None:
         """Close the socket."""
@@ -140,7 +149,7 @@
 
     def list_samples(self) -> Iterator[Sample]:
         """Yield the samples of the metrics page."""
-        return list_balancer_samples(self.balancer, self.log, self.held)
+        return list_balancer_samples(self.balancer, self.log, self.queue_time_histogram)
 
     def dump(self) -> dict[str, Any]:
         """Return the state for a dump."""
@@ -155,56 +164,61 @@
             },
         }
 
-    def _take_packet(self, data: bytes, sender: tuple[str, int]) -> None:
-        segment = self._codec.parse_inward(data)
+    def _handle_packet(self, data: bytes, sender: tuple[str, int]) -> None:
+        segment = self._codec.parse_caller_packet(data)
         if segment is None:
-            self.unreadable += 1
+            self.unreadable_packets += 1
             return
-        self.packets += 1
-        now = self._packet_at = read_clock()
-        self._carry_out(self.balancer.take(segment, now))
-
-    def _take_status(self, peer: str, status: Status) -> None:
-        now = read_clock()
-        self.balancer.learn(peer, status, now)
-        # A word that tells of a queue lets none of them go; the sweep looks again.
-        if self.balancer.state.openings and status.active <= status.slots:
-            self._carry_out(self.balancer.open_again(now))
-
-    def _take_returned(self, peer: str, message: Returned) -> None:
-        segment = self._codec.parse_inward(message.packet)
+        self.packet_count += 1
+        now = self._last_packet_at = read_monotonic_clock()
+        self._execute(self.balancer.handle_packet(segment, now))
+
+    def _handle_status(self, peer: str, status: Status) -> None:
+        now = read_monotonic_clock()
+        self.balancer.handle_status(peer, status, now)
+        # A status that reports a queue frees no slot for queued SYNs; the next tick
+        # retries them.
+        if self.balancer.state.pending_syns and status.active_requests <= status.slots:
+            self._execute(self.balancer.retry_pending(now))
+
+    def _handle_rejected_packet(self, peer: str, message: RejectedPacket) -> None:
+        segment = self._codec.parse_caller_packet(message.packet)
         if segment is None:
-            self.unreadable += 1
+            self.unreadable_packets += 1
             return
-        now = read_clock()
-        self._carry_out(self.balancer.take_returned(peer, message, segment, now))
+        now = read_monotonic_clock()
+        self._execute(self.balancer.handle_rejected_packet(peer, message, segment, now))
 
-    def _take_gathered(self, peer: str, message: Gathered) -> None:
-        self._carry_out(self.balancer.take_gathered(message, read_clock()))
+    def _handle_aggregated_answers(self, peer: str, message: AggregatedAnswers) -> None:
+        self._execute(
+            self.balancer.handle_aggregated_answers(message, read_monotonic_clock())
+        )
 
-    def _take_seek(self, peer: str, message: Seek) -> None:
-        known = self.balancer.tell_known(message, read_clock())
-        if known is not None:
-            self._inner.send(peer, known)
+    def _handle_location_query(self, peer: str, message: LocationQuery) -> None:
+        locations = self.balancer.answer_location_query(message, read_monotonic_clock())
+        if locations is not None:
+            self._internal_socket.send(peer, locations)
 
-    def _take_pong(self, peer: str, message: Pong) -> None:
-        self.balancer.take_pong(peer, message.number, read_clock())
+    def _handle_pong(self, peer: str, message: Pong) -> None:
+        self.balancer.handle_pong(peer, message.sequence, read_monotonic_clock())
 
-    def _take_known(self, peer: str, message: Known) -> None:
-        self._carry_out(self.balancer.take_known(message, read_clock()))
+    def _handle_flow_locations(self, peer: str, message: FlowLocations) -> None:
+        self._execute(
+            self.balancer.handle_flow_locations(message, read_monotonic_clock())
+        )
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Send):
-                self._inner.send(action.peer, action.message)
+            if isinstance(action, SendMessage):
+                self._internal_socket.send(action.peer, action.message)
             else:
-                self._reset(action)
+                self._send_reset(action)
 
-    def _reset(self, action: Reset) -> None:
+    def _send_reset(self, action: ResetFlow) -> None:
         packet = self._codec.make_reset(action.segment)
-        caller = self._codec.find_caller(action.segment)
+        caller = self._codec.get_caller_address(action.segment)
         try:
             self._socket.send_to(packet, (caller, self._port))
         except OSError as error:
-            # The caller repeats its packet and is answered then.
-            self.log.tell_event("reset_unsent", peer=caller, error=error)
+            # The caller retransmits its packet and gets the reset then.
+            self.log.log_event("reset_unsent", peer=caller, error=error)
--- a/ibisshunt/components/forwarding/balancer_samples.py
+++ b/ibisshunt/components/forwarding/balancer_samples.py
@@ -1,4 +1,4 @@
-"""Give the counters of a balancer as samples for the metrics page."""
+"""Provide the counters of a balancer as samples for the metrics page."""
 
 from collections.abc import Iterator
 
@@ -10,9 +10,9 @@
 
 
 def list_balancer_samples(
-    balancer: Balancer, log: DecisionLog, held: LatencyHistogram
+    balancer: Balancer, log: DecisionLog, queue_time_histogram: LatencyHistogram
 ) -> Iterator[Sample]:
-    """Yield what a balancer counted, and how long searches and openings took."""
+    """Yield what a balancer counted, and how long SYNs were queued."""
     counters = balancer.state.counters
     for outcome, value in (
         ("placed", counters.placed),
@@ -30,9 +30,9 @@
         yield Sample("ibisshunt_searches_total", COUNTER, labels, value)
     yield Sample("ibisshunt_packets_returned_total", COUNTER, {}, counters.returned)
     yield Sample("ibisshunt_known_flows", GAUGE, {}, len(balancer.flows))
-    yield Sample("ibisshunt_held_openings", GAUGE, {}, len(balancer.state.openings))
+    yield Sample("ibisshunt_held_openings", GAUGE, {}, len(balancer.state.pending_syns))
     yield Sample("ibisshunt_known_targets", GAUGE, {}, len(balancer.targets))
     version = balancer.routes.version
     yield Sample("ibisshunt_configuration_version", GAUGE, {}, version)
-    yield Sample("ibisshunt_lines_left_out_total", COUNTER, {}, log.left_out)
-    yield from held.list_samples()
+    yield Sample("ibisshunt_lines_left_out_total", COUNTER, {}, log.suppressed_count)
+    yield from queue_time_histogram.list_samples()
--- a/ibisshunt/components/forwarding/checkpoints.py
+++ b/ibisshunt/components/forwarding/checkpoints.py
@@ -1,4 +1,4 @@
-"""Keep the flows of a balancer on control hosts, and fetch them after a start."""
+"""Save the flows of a balancer on control hosts, and recover them after a start."""
 
 from collections.abc import Callable
 from zlib import crc32
@@ -6,43 +6,45 @@
 import gevent
 
 from ...coordination.forwarding.balancer import Balancer
-from ...coordination.forwarding.messages import Noted, Recalled
-from ...coordination.forwarding.restart.recollection import Recollection
-from ...helpers.clock import read_clock
+from ...coordination.forwarding.messages import CheckpointEntries, RecoveryReply
+from ...coordination.forwarding.recovery.client import RecoveryClient
+from ...helpers.clock import read_monotonic_clock
 from ...helpers.logging import log_event
-from ..directory.inner import InnerSocket
+from ..directory.internal_socket import InternalSocket
 
-# How often entries are sent; flows that opened since are not known after an outage.
+# Interval of sending entries; flows opened since the last one are unknown after an
+# outage.
 SEND_SECONDS = 0.25
-# How often it is looked at who has yet to tell the former run's flows.
-ASK_SECONDS = 0.02
+# Interval of checks for control hosts that have not sent all recovered flows.
+REQUEST_CHECK_SECONDS = 0.02
 
 
 class CheckpointTask:
-    """Own the exchange of one balancer's flow entries with control hosts.
+    """Own the exchange of one balancer's checkpoint entries with control hosts.
 
-    ``list_control`` returns the control hosts to ask, ``list_heard`` those that were
-    heard lately. Entries are kept by one control host more than ``losses``, the disks
-    that may be lost together with all power.
+    ``list_control_hosts`` returns the control hosts to request from,
+    ``list_recent_control_hosts`` those that replied lately. Entries are stored by one
+    control host more than ``tolerated_disk_losses``, the disks that may be lost
+    together with all power.
     """
 
     def __init__(
         self,
         address: str,
         balancer: Balancer,
-        inner: InnerSocket,
-        list_control: Callable[[], list[str]],
-        list_heard: Callable[[], list[str]],
-        losses: int,
+        internal_socket: InternalSocket,
+        list_control_hosts: Callable[[], list[str]],
+        list_recent_control_hosts: Callable[[], list[str]],
+        tolerated_disk_losses: int,
     ) -> None:
         self._address = address
         self._balancer = balancer
-        self._inner = inner
-        self._list_control = list_control
-        self._list_heard = list_heard
-        self._copies = losses + 1
-        self._recollection = Recollection(read_clock())
-        inner.handle(Recalled, self._take_recalled)
+        self._internal_socket = internal_socket
+        self._list_control_hosts = list_control_hosts
+        self._list_recent_control_hosts = list_recent_control_hosts
+        self._copies = tolerated_disk_losses + 1
+        self._recovery_client = RecoveryClient(read_monotonic_clock())
+        internal_socket.register_handler(RecoveryReply, self._handle_recovery_reply)
 
     def run_sending(self) -> None:
         """Send entries until killed."""
@@ -52,38 +54,40 @@
 
     def send(self) -> None:
         """Send all entries that are not sent yet."""
-        self._balancer.state.note_flows(read_clock())
-        keepers = self._choose_keepers()
-        while keepers and (entries := self._balancer.state.checkpoint.take()):
-            self._inner.send_all(keepers, Noted(entries))
+        self._balancer.state.checkpoint_due_flows(read_monotonic_clock())
+        replicas = self._choose_replicas()
+        while replicas and (entries := self._balancer.state.checkpoint.pop_batch()):
+            self._internal_socket.send_all(replicas, CheckpointEntries(entries))
 
-    def run_asking(self) -> None:
-        """Ask for the flows of the former run until that is over."""
-        while not self._recollection.is_over(read_clock()):
-            self.ask()
-            gevent.sleep(ASK_SECONDS)
+    def run_recovery(self) -> None:
+        """Request the flows of the previous run until recovery is over."""
+        while not self._recovery_client.is_over(read_monotonic_clock()):
+            self.request_flows()
+            gevent.sleep(REQUEST_CHECK_SECONDS)
 
-    def ask(self) -> None:
-        """Ask the control hosts that have not told everything."""
-        asked = self._recollection.ask(
-            self._list_control(), read_clock(), self._list_heard()
+    def request_flows(self) -> None:
+        """Send requests to the control hosts that have not sent all entries."""
+        requests = self._recovery_client.make_requests(
+            self._list_control_hosts(),
+            read_monotonic_clock(),
+            self._list_recent_control_hosts(),
         )
-        for peer, question in asked:
-            self._inner.send(peer, question)
+        for peer, request in requests:
+            self._internal_socket.send(peer, request)
 
-    def _choose_keepers(self) -> list[str]:
-        """Return control hosts, others for each balancer, to share the work."""
-        heard = self._list_heard()
+    def _choose_replicas(self) -> list[str]:
+        """Return this balancer's control hosts; others differ, to share the load."""
+        recently_heard = self._list_recent_control_hosts()
         own = self._address.encode()
-        heard.sort(key=lambda control: crc32(own + control.encode()))
-        return heard[: self._copies]
+        recently_heard.sort(key=lambda control: crc32(own + control.encode()))
+        return recently_heard[: self._copies]
 
-    def _take_recalled(self, peer: str, message: Recalled) -> None:
-        now = read_clock()
-        entries = self._recollection.take(peer, message, now)
+    def _handle_recovery_reply(self, peer: str, message: RecoveryReply) -> None:
+        now = read_monotonic_clock()
+        entries = self._recovery_client.handle_reply(peer, message, now)
         if not entries:
             return
-        self._balancer.take_former(entries, now)
-        if message.first + len(entries) >= message.total:
+        self._balancer.recover_flows(entries, now)
+        if message.offset + len(entries) >= message.total:
             log_event("flows_recalled", peer=peer, flows=message.total)
-        self.ask()
+        self.request_flows()
--- a/ibisshunt/components/load/__init__.py
+++ b/ibisshunt/components/load/__init__.py
@@ -1,4 +1,4 @@
-"""Offer a bounded load to a service and report what callers saw."""
+"""Send a limited load to a service and report outcomes and latencies."""
 
 from .command import load
 from .generator import LoadPlan, LoadResult, run_load
--- a/ibisshunt/components/load/command.py
+++ b/ibisshunt/components/load/command.py
@@ -1,4 +1,4 @@
-"""Offer the command line of the load generator."""
+"""Define the command line of the load generator."""
 
 from pathlib import Path
 
@@ -9,10 +9,10 @@
 from .report import render_plot, render_report
 
 
-def _read_addresses(
-    _context: click.Context, _parameter: click.Parameter, found: tuple[str, ...]
+def _parse_addresses(
+    _context: click.Context, _parameter: click.Parameter, texts: tuple[str, ...]
 ) -> tuple[Address, ...]:
-    results = [parse_address(one) for one in found]
+    results = [parse_address(text) for text in texts]
     for result in results:
         if fault := result.swap().value_or(None):
             raise click.BadParameter(fault.reason)
@@ -20,7 +20,7 @@
 
 
 @click.command()
-@click.argument("addresses", nargs=-1, required=True, callback=_read_addresses)
+@click.argument("addresses", nargs=-1, required=True, callback=_parse_addresses)
 @click.option("--rate", type=click.FloatRange(0.1, 10_000), default=10.0)
 @click.option("--count", type=click.IntRange(1, MAX_REQUESTS), default=1_000)
 @click.option("--seconds", type=click.FloatRange(0.1, MAX_SECONDS), default=30.0)
@@ -44,10 +44,10 @@
     seed: int,
     plot: Path | None,
 ) -> None:
-    """Offer requests to ADDRESSES (ip:port) and report latency and outcomes.
+    """Send requests to ADDRESSES (ip:port) and report latencies and outcomes.
 
-    Arrivals are random at the given rate and do not wait for answers. The load ends
-    with --count or --seconds, whichever comes first.
+    Requests are sent at random times at the given rate, without waiting for answers.
+    The load ends with --count or --seconds, whichever comes first.
     """
     plan = LoadPlan(
         addresses,
--- a/ibisshunt/components/load/generator.py
+++ b/ibisshunt/components/load/generator.py
@@ -1,4 +1,4 @@
-"""Send requests at their planned times, whatever becomes of the earlier ones."""
+"""Generate an open-loop load: requests start at planned times, answered or not."""
 
 import time
 from collections import Counter
@@ -15,7 +15,7 @@
 
 from ...model.address import Address
 
-LONGEST_MICROSECONDS: Final = 60_000_000
+MAX_LATENCY_US: Final = 60_000_000
 SIGNIFICANT_DIGITS: Final = 3
 MAX_IN_FLIGHT: Final = 2_000
 MAX_REQUESTS: Final = 100_000
@@ -26,7 +26,8 @@
 class LoadPlan:
     """Describe a load: ``rate`` in requests a second, ``timeout`` in seconds.
 
-    ``keyed`` gives each request an idempotency key of its own.
+    It ends after ``count`` requests or ``seconds``. ``keyed`` gives each request an
+    idempotency key of its own.
     """
 
     addresses: tuple[Address, ...]
@@ -43,9 +44,10 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """Hold what callers saw; latencies in microseconds from the planned time.
+    """Hold outcomes and latencies, in microseconds from the planned time of a request.
 
     Measured from the planned time, a stall counts for all requests that it delays.
+    ``skipped`` counts the requests that were not sent because too many were in flight.
     """
 
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -53,42 +55,42 @@
     seconds: float = 0.0
     skipped: int = 0
 
-    def note(self, outcome: str, seconds: float) -> None:
-        """Take in one request."""
+    def record(self, outcome: str, seconds: float) -> None:
+        """Record the outcome and the latency of one request."""
         self.outcomes[outcome] += 1
         if outcome not in self.latencies:
             self.latencies[outcome] = HdrHistogram(
-                1, LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS
+                1, MAX_LATENCY_US, SIGNIFICANT_DIGITS
             )
-        value = min(LONGEST_MICROSECONDS, max(1, round(seconds * 1e6)))
+        value = min(MAX_LATENCY_US, max(1, round(seconds * 1e6)))
         self.latencies[outcome].record_value(value)
 
 
 def run_load(plan: LoadPlan, clock: Callable[[], float] = time.monotonic) -> LoadResult:
-    """Offer the load; end when the count or the time is reached."""
+    """Send the load; return when the count or the time is reached."""
     result = LoadResult()
     pool = Pool(MAX_IN_FLIGHT)
     client = urllib3.PoolManager(
         num_pools=len(plan.addresses), maxsize=MAX_IN_FLIGHT, retries=False
     )
-    draw = Random(plan.seed)
-    begin = clock()
-    planned = begin
+    random = Random(plan.seed)
+    started_at = clock()
+    planned_at = started_at
     for number in range(plan.count):
-        planned += draw.expovariate(plan.rate)
-        if planned - begin > plan.seconds:
+        planned_at += random.expovariate(plan.rate)
+        if planned_at - started_at > plan.seconds:
             break
-        gevent.sleep(max(0.0, planned - clock()))
+        gevent.sleep(max(0.0, planned_at - clock()))
         if pool.full():
-            # Waiting for a place would slow the arrivals down to what the service
-            # manages, and hide the overload.
+            # Waiting for a free place would slow the requests down to the rate that the
+            # service can handle, and hide the overload.
             result.skipped += 1
             continue
-        address = plan.addresses[draw.randrange(len(plan.addresses))]
-        pool.spawn(_send, client, plan, address, number, planned, clock, result)
+        address = plan.addresses[random.randrange(len(plan.addresses))]
+        pool.spawn(_send, client, plan, address, number, planned_at, clock, result)
     pool.join()
     client.clear()
-    result.seconds = clock() - begin
+    result.seconds = clock() - started_at
     return result
 
 
@@ -97,13 +99,13 @@
     plan: LoadPlan,
     address: Address,
     number: int,
-    planned: float,
+    planned_at: float,
     clock: Callable[[], float],
     result: LoadResult,
 ) -> None:
     headers = {"Request-Timeout": f"{plan.timeout:.3f}"}
     if plan.keyed:
-        headers["Idempotency-Key"] = f"load-{plan.seed}-{planned}-{number}"
+        headers["Idempotency-Key"] = f"load-{plan.seed}-{planned_at}-{number}"
     try:
         response = client.request(
             plan.method,
@@ -113,14 +115,14 @@
             timeout=plan.timeout + 1.0,
             redirect=False,
         )
-        outcome = _name_outcome(response)
+        outcome = _get_outcome(response)
     except HTTPError:
         outcome = "broken"
-    result.note(outcome, clock() - planned)
+    result.record(outcome, clock() - planned_at)
 
 
-def _name_outcome(response: urllib3.BaseHTTPResponse) -> str:
-    told = response.headers.get("Ibisshunt-Outcome", "")
-    if told and told != "done":
-        return told
+def _get_outcome(response: urllib3.BaseHTTPResponse) -> str:
+    reported = response.headers.get("Ibisshunt-Outcome", "")
+    if reported and reported != "done":
+        return reported
     return "done" if response.status < 400 else f"status-{response.status}"
--- a/ibisshunt/components/load/report.py
+++ b/ibisshunt/components/load/report.py
@@ -1,11 +1,11 @@
-"""Render what a load saw as text and as a plot."""
+"""Render the result of a load as text and as a plot."""
 
 import sys
 from typing import Any, Final
 
 from .generator import LoadPlan, LoadResult
 
-QUANTILES: Final = (50.0, 90.0, 99.0, 99.9, 100.0)
+PERCENTILES: Final = (50.0, 90.0, 99.0, 99.9, 100.0)
 PLOT_STEPS: Final = 200
 
 
@@ -15,20 +15,21 @@
     lines = [
         f"offered {plan.rate:g}/s, sent {total} in {result.seconds:.1f} s, "
         f"skipped {result.skipped}",
-        "outcome        count  share " + " ".join(f"{_label(q):>9}" for q in QUANTILES),
+        "outcome        count  share "
+        + " ".join(f"{_format_percentile(q):>9}" for q in PERCENTILES),
     ]
     for outcome, count in result.outcomes.most_common():
         latencies = result.latencies[outcome]
-        values = [latencies.get_value_at_percentile(q) / 1000 for q in QUANTILES]
+        values = [latencies.get_value_at_percentile(q) / 1000 for q in PERCENTILES]
         cells = " ".join(f"{value:9.1f}" for value in values)
         lines.append(f"{outcome:<12} {count:>7} {count / total:6.1%} {cells}")
     if result.skipped:
-        lines.append("skipped: too many requests were in flight; offer less")
+        lines.append("skipped: too many requests were in flight; lower the rate")
     return "\n".join(lines)
 
 
 def render_plot(plan: LoadPlan, result: LoadResult) -> bytes:
-    """Return an SVG of latency by quantile, one line an outcome."""
+    """Return an SVG plot of latency by percentile, one line per outcome."""
     chart = _import_pygal().XY(
         title=f"Latency at {plan.rate:g} requests/s",
         x_title="share of requests in %",
@@ -38,22 +39,24 @@
     )
     for outcome, latencies in sorted(result.latencies.items()):
         points = [
-            (share, latencies.get_value_at_percentile(share) / 1000)
-            for share in (100.0 * step / PLOT_STEPS for step in range(PLOT_STEPS + 1))
+            (percentile, latencies.get_value_at_percentile(percentile) / 1000)
+            for percentile in (
+                100.0 * step / PLOT_STEPS for step in range(PLOT_STEPS + 1)
+            )
         ]
         chart.add(outcome, points)
     return chart.render()
 
 
-def _label(quantile: float) -> str:
-    return "max" if quantile == 100.0 else f"p{quantile:g}/ms"
+def _format_percentile(percentile: float) -> str:
+    return "max" if percentile == 100.0 else f"p{percentile:g}/ms"
 
 
 def _import_pygal() -> Any:
-    """Return the plot library, without the importer that it leaves behind.
+    """Import the plot library and remove the importer that it adds to sys.meta_path.
 
-    The importer speaks a protocol that Python has dropped: whoever asks all importers
-    for a module afterwards (pytest does) ends with an AttributeError.
+    The importer lacks ``find_spec``: code that afterwards asks all importers for a
+    module, as pytest does, fails with an AttributeError.
     """
     importers = list(sys.meta_path)
     import pygal
--- a/ibisshunt/components/node/__init__.py
+++ b/ibisshunt/components/node/__init__.py
@@ -1,4 +1,4 @@
-"""Keep the configuration of one node in force and announce its target."""
+"""Keep the configuration of one node up to date and announce its target."""
 
 from .announcer import setup as setup_announcement
 from .watcher import setup as setup_configuration
--- a/ibisshunt/components/node/announcer.py
+++ b/ibisshunt/components/node/announcer.py
@@ -1,4 +1,4 @@
-"""Announce a target to control and keep its lease."""
+"""Announce a target to the control hosts and renew its lease."""
 
 import random
 import time
@@ -20,7 +20,7 @@
 from ...protocol.rpc import Channel
 from ...settings import AgentSettings
 
-WAIT_FOR_SERVICE_SECONDS: Final = 0.1
+SERVICE_CHECK_INTERVAL_SECONDS: Final = 0.1
 
 
 class Announcer:
@@ -39,36 +39,36 @@
         self.lease_deadline = 0.0
         self._stopping = Event()
         self._kernel = kernel
-        self._hosts = cycle(control)
+        self._control_hosts = cycle(control)
         self._credentials = credentials
-        self._channel = Channel(next(self._hosts), credentials)
+        self._channel = Channel(next(self._control_hosts), credentials)
 
     @property
     def agent_session(self) -> str:
-        """Return what this process drew at its start."""
+        """Return the random id of this agent process."""
         return self.announcement.agent_session
 
     def run(self) -> None:
-        """Renew the lease until asked to stop."""
+        """Renew the lease until stopped."""
         delays = make_delays(random.random)
         while not self._stopping.is_set():
-            if not self._knows_service():
-                self._stopping.wait(WAIT_FOR_SERVICE_SECONDS)
+            if not self._is_service_known():
+                self._stopping.wait(SERVICE_CHECK_INTERVAL_SECONDS)
                 continue
             if self.announce():
                 delays = make_delays(random.random)
                 self._stopping.wait(HEARTBEAT_SECONDS)
                 continue
-            self._change_host()
+            self._switch_control_host()
             self._stopping.wait(next(delays))
         self._channel.close()
 
     def stop(self) -> None:
-        """End the announcements."""
+        """Stop announcing."""
         self._stopping.set()
 
     def announce(self) -> bool:
-        """Send the announcement once; return whether control took it."""
+        """Send the announcement once; return whether control accepted it."""
         flows = self._kernel.find("flows").count() if self._kernel.has("flows") else 0
         request = AnnounceRequest(self.announcement, self.leaving, flows)
         sent_at = time.monotonic()
@@ -81,40 +81,43 @@
             peer = self._channel.address
             warn_event("announce_refused", peer=peer, reason=reply.error)
             return False
-        self._note(reply, sent_at)
+        self._record_reply(reply, sent_at)
         return True
 
-    def _knows_service(self) -> bool:
-        """Tell whether the service is declared and this agent has heard of it.
+    def _is_service_known(self) -> bool:
+        """Return whether the service is in the configuration of this agent.
 
         A target that is announced earlier gets flows that its agent must drop.
         """
         slices = self._kernel.find("configuration").current.slices.values()
-        wanted = (self.announcement.business, self.announcement.service)
-        return any((p.service.business, p.service.name) == wanted for p in slices)
+        own_service = (self.announcement.business, self.announcement.service)
+        return any(
+            (slice_.service.business, slice_.service.name) == own_service
+            for slice_ in slices
+        )
 
     def leave(self) -> None:
-        """Tell control that the target gets no new work from now on."""
+        """Announce that the target accepts no new flows from now on."""
         self.leaving = True
         self.announce()
 
-    def _note(self, reply: AnnounceReply, sent_at: float) -> None:
-        changed = reply.incarnation != self.incarnation
+    def _record_reply(self, reply: AnnounceReply, sent_at: float) -> None:
+        is_new_incarnation = reply.incarnation != self.incarnation
         self.incarnation = reply.incarnation
-        if changed:
+        if is_new_incarnation:
             name = self.announcement.name
             log_event("announced", target=name, incarnation=reply.incarnation)
-            self._wake_packets()
-        # Counted from the sending: the lease must not outlast what control granted.
+            self._wake_packet_task()
+        # Counted from the time of sending: the lease must not outlast the granted one.
         self.lease_deadline = sent_at + reply.lease_seconds
 
-    def _wake_packets(self) -> None:
+    def _wake_packet_task(self) -> None:
         if self._kernel.has("packets"):
             self._kernel.find("packets").wake()
 
-    def _change_host(self) -> None:
+    def _switch_control_host(self) -> None:
         self._channel.close()
-        self._channel = Channel(next(self._hosts), self._credentials)
+        self._channel = Channel(next(self._control_hosts), self._credentials)
 
     def dump(self) -> dict[str, Any]:
         """Return the state for the dump."""
@@ -129,8 +132,8 @@
 def make_announcement(settings: AgentSettings) -> Announcement:
     """Return the announcement of the agent's target.
 
-    The session names the target, not the agent's process: an agent that restarts
-    beside a living target must keep the incarnation under which its flows run.
+    The session identifies the target and not the agent process: an agent that restarts
+    next to a running target must keep the incarnation of its flows.
     """
     target = settings.target
     session = target.session or f"{target.host}/{target.tunnel}"
@@ -155,7 +158,7 @@
     settings: AgentSettings,
     credentials: grpc.ChannelCredentials | None = None,
 ) -> Announcer:
-    """Start to announce; register the announcer as ``announcement``."""
+    """Start announcing; register the announcer as ``announcement``."""
     announcement = make_announcement(settings)
     announcer = Announcer(kernel, announcement, settings.control, credentials)
     task = kernel.spawn("announcer", announcer.run)
--- a/ibisshunt/components/node/watcher.py
+++ b/ibisshunt/components/node/watcher.py
@@ -1,4 +1,4 @@
-"""Follow the configuration from control and put it in force."""
+"""Watch the configuration on the control hosts and activate each update."""
 
 import math
 import random
@@ -13,9 +13,9 @@
 
 from ...const import HEARTBEAT_SECONDS
 from ...coordination.distribution.receiver import (
-    Received,
-    Reception,
-    Verdict as ReceptionVerdict,
+    ActiveConfiguration,
+    UpdateResult,
+    UpdateVerdict,
     receive,
 )
 from ...core import Kernel
@@ -27,69 +27,73 @@
 from ...protocol.messages import REPORT, WATCH, ReportRequest, WatchRequest
 from ...protocol.rpc import Channel, Stream
 
-PULL_SECONDS: Final = 1.0
-# Control sends something at least once a heartbeat.
-SILENCE_SECONDS: Final = 3 * HEARTBEAT_SECONDS
-GUARD_INTERVAL_SECONDS: Final = 0.25
-REPORT_INTERVAL_SECONDS: Final = 0.1
+NEWER_REVISION_TIMEOUT_SECONDS: Final = 1.0
+# Control sends an update or a heartbeat at least once per heartbeat interval.
+STREAM_SILENCE_TIMEOUT_SECONDS: Final = 3 * HEARTBEAT_SECONDS
+STREAM_CHECK_INTERVAL_SECONDS: Final = 0.25
+REVISION_CHECK_INTERVAL_SECONDS: Final = 0.1
 REPORT_TIMEOUT_SECONDS: Final = 2.0
 
 Subscriber = Callable[[Configuration], None]
 
 
 class NodeConfiguration:
-    """Hold the configuration in force and tell subscribers when it changes."""
+    """Hold the active configuration and notify subscribers of changes."""
 
     def __init__(self) -> None:
-        self._received = Received()
+        self._active = ActiveConfiguration()
         self._subscribers: list[Subscriber] = []
-        self._wanted_revision = 0
-        self._pull_deadline = math.inf
+        self._newest_known_revision = 0
+        self._newer_revision_deadline = math.inf
 
     @property
     def current(self) -> Configuration:
-        """Return the configuration in force."""
-        return self._received.configuration
+        """Return the active configuration."""
+        return self._active.configuration
 
     def subscribe(self, callback: Subscriber) -> None:
         """Call back with the current configuration and after each change."""
         self._subscribers.append(callback)
         callback(self.current)
 
-    def request_pull(self, revision: int) -> None:
-        """Note that a peer has ``revision`` in force.
+    def record_peer_revision(self, revision: int) -> None:
+        """Record that ``revision`` is active on a peer.
 
-        The open watch brings it as a rule. A watch that hangs, or a host that lags,
-        does not: after the deadline another host is asked.
+        Normally the open watch delivers it. If it does not before the deadline, the
+        watch hangs or its host lags, and the next control host is tried.
         """
-        if revision <= max(self.current.revision, self._wanted_revision):
+        if revision <= max(self.current.revision, self._newest_known_revision):
             return
-        self._wanted_revision = revision
-        self._pull_deadline = time.monotonic() + PULL_SECONDS
+        self._newest_known_revision = revision
+        self._newer_revision_deadline = (
+            time.monotonic() + NEWER_REVISION_TIMEOUT_SECONDS
+        )
 
     def is_stale(self) -> bool:
-        """Tell whether a newer revision is known and the watch did not bring it."""
-        if self.current.revision >= self._wanted_revision:
-            self._pull_deadline = math.inf
-        return time.monotonic() > self._pull_deadline
-
-    def note_new_host(self) -> None:
-        """Give a new watch its time to bring what is wanted."""
-        if self._pull_deadline != math.inf:
-            self._pull_deadline = time.monotonic() + PULL_SECONDS
-
-    def put_in_force(self, update: ConfigurationUpdate) -> Reception:
-        """Decide on an update and tell subscribers when it changed anything."""
-        reception = receive(self._received, update)
-        self._received = reception.received
-        if reception.verdict == ReceptionVerdict.IN_FORCE:
+        """Return whether the watch has not delivered a known newer revision in time."""
+        if self.current.revision >= self._newest_known_revision:
+            self._newer_revision_deadline = math.inf
+        return time.monotonic() > self._newer_revision_deadline
+
+    def restart_stale_timeout(self) -> None:
+        """Restart the deadline for the newer revision after a new watch is opened."""
+        if self._newer_revision_deadline != math.inf:
+            self._newer_revision_deadline = (
+                time.monotonic() + NEWER_REVISION_TIMEOUT_SECONDS
+            )
+
+    def apply_update(self, update: ConfigurationUpdate) -> UpdateResult:
+        """Apply an update and notify subscribers if the configuration changed."""
+        result = receive(self._active, update)
+        self._active = result.active
+        if result.verdict == UpdateVerdict.IN_FORCE:
             for callback in self._subscribers:
                 callback(self.current)
-        return reception
+        return result
 
 
-class Watcher:
-    """Own the connection to control of one node."""
+class ConfigurationWatcher:
+    """Own the watch connection of one node to a control host."""
 
     def __init__(
         self,
@@ -103,21 +107,21 @@
         self._node = node
         self._role = role
         self._services = services
-        self._hosts = cycle(control)
+        self._control_hosts = cycle(control)
         self._credentials = credentials
-        self.connected_to = ""
-        self._since = 0
+        self.connected_host = ""
+        self._last_revision = 0
         self._silence_deadline = math.inf
         self._stopping = Event()
         self._stream: Stream | None = None
 
     def run(self) -> None:
-        """Follow one control host after another until asked to stop."""
+        """Watch one control host after another until stopped."""
         delays = make_delays(random.random)
-        for address in self._hosts:
-            before = self.configuration.current.revision
-            self._follow(address)
-            if self.configuration.current.revision > before:
+        for address in self._control_hosts:
+            previous_revision = self.configuration.current.revision
+            self._watch_host(address)
+            if self.configuration.current.revision > previous_revision:
                 delays = make_delays(random.random)
             if self._stopping.wait(next(delays)):
                 return
@@ -128,60 +132,62 @@
         if self._stream is not None:
             self._stream.close()
 
-    def _follow(self, address: Address) -> None:
+    def _watch_host(self, address: Address) -> None:
         channel = Channel(address, self._credentials)
-        request = WatchRequest(self._node, self._since, self._services)
+        request = WatchRequest(self._node, self._last_revision, self._services)
         self._stream = channel.stream(WATCH, request)
-        self._silence_deadline = time.monotonic() + SILENCE_SECONDS
-        self.configuration.note_new_host()
+        self._silence_deadline = time.monotonic() + STREAM_SILENCE_TIMEOUT_SECONDS
+        self.configuration.restart_stale_timeout()
         ended = Event()
-        helpers = [
-            gevent.spawn(self._report, channel, ended),
-            gevent.spawn(self._guard, address, self._stream, ended),
+        tasks = [
+            gevent.spawn(self._report_revisions, channel, ended),
+            gevent.spawn(self._close_when_stale, address, self._stream, ended),
         ]
         try:
-            self._watch(address, self._stream)
+            self._receive_updates(address, self._stream)
         except RpcError as error:
             if not self._stopping.is_set():
                 warn_event("watch_lost", node=self._node, fault=error.fault)
-        self.connected_to = ""
+        self.connected_host = ""
         ended.set()
         self._stream.close()
-        gevent.joinall(helpers)
+        gevent.joinall(tasks)
         channel.close()
 
-    def _watch(self, address: Address, stream: Stream) -> None:
+    def _receive_updates(self, address: Address, stream: Stream) -> None:
         for update in stream:
-            self.connected_to = str(address)
-            self._silence_deadline = time.monotonic() + SILENCE_SECONDS
-            reception = self.configuration.put_in_force(update)
-            self._since = reception.since
-            if reception.verdict == ReceptionVerdict.CURRENT:
+            self.connected_host = str(address)
+            self._silence_deadline = time.monotonic() + STREAM_SILENCE_TIMEOUT_SECONDS
+            result = self.configuration.apply_update(update)
+            self._last_revision = result.since
+            if result.verdict == UpdateVerdict.CURRENT:
                 continue
             log_event(
                 "update_received",
                 node=self._node,
-                verdict=reception.verdict,
+                verdict=result.verdict,
                 revision=update.revision,
                 changed=len(update.changed),
             )
-            if reception.verdict != ReceptionVerdict.IN_FORCE:
+            if result.verdict != UpdateVerdict.IN_FORCE:
                 return
 
-    def _guard(self, address: Address, stream: Stream, ended: Event) -> None:
-        """End a watch that brings nothing any more.
+    def _close_when_stale(self, address: Address, stream: Stream, ended: Event) -> None:
+        """Close a watch that is silent or does not deliver a newer revision.
 
-        A host that is frozen or cut off keeps the connection open; without this the
-        node would keep its old configuration for as long as that lasts.
+        A frozen or partitioned host keeps the connection open; without this check the
+        node would keep its outdated configuration for as long as that lasts.
         """
-        while not ended.wait(GUARD_INTERVAL_SECONDS):
-            silent = time.monotonic() > self._silence_deadline
-            if silent or self.configuration.is_stale():
-                warn_event("watch_ended", node=self._node, peer=address, silent=silent)
+        while not ended.wait(STREAM_CHECK_INTERVAL_SECONDS):
+            is_silent = time.monotonic() > self._silence_deadline
+            if is_silent or self.configuration.is_stale():
+                warn_event(
+                    "watch_ended", node=self._node, peer=address, silent=is_silent
+                )
                 stream.close()
                 return
 
-    def _report(self, channel: Channel, ended: Event) -> None:
+    def _report_revisions(self, channel: Channel, ended: Event) -> None:
         while not ended.is_set():
             revision = self.configuration.current.revision
             try:
@@ -194,7 +200,7 @@
     def _wait_for_change(self, revision: int, ended: Event) -> None:
         deadline = time.monotonic() + HEARTBEAT_SECONDS
         while time.monotonic() < deadline:
-            if ended.wait(REPORT_INTERVAL_SECONDS):
+            if ended.wait(REVISION_CHECK_INTERVAL_SECONDS):
                 return
             if self.configuration.current.revision != revision:
                 return
@@ -205,8 +211,8 @@
         return {
             "node": self._node,
             "revision": current.revision,
-            "control": self.connected_to,
-            "services": [part for _, part in sorted(current.slices.items())],
+            "control": self.connected_host,
+            "services": [slice_ for _, slice_ in sorted(current.slices.items())],
         }
 
 
@@ -218,8 +224,8 @@
     services: tuple[str, ...] = (),
     credentials: grpc.ChannelCredentials | None = None,
 ) -> NodeConfiguration:
-    """Start to follow the configuration; register it as ``configuration``."""
-    watcher = Watcher(node, role, control, services, credentials)
+    """Start watching the configuration; register it as ``configuration``."""
+    watcher = ConfigurationWatcher(node, role, control, services, credentials)
     configuration = watcher.configuration
     task = kernel.spawn("watcher", watcher.run)
 
--- a/ibisshunt/components/requests/__init__.py
+++ b/ibisshunt/components/requests/__init__.py
@@ -1,4 +1,8 @@
-"""Serve HTTP requests of one target: once, whole, and fairly shared."""
+"""Serve the HTTP requests of one target and share them with the other agents.
+
+Requests with an idempotency key run at most once, responses are delivered complete or
+not at all, and callers get a fair share of the target.
+"""
 
 import time
 from collections.abc import Iterable
@@ -7,7 +11,7 @@
 import gevent
 
 from ...const import STOP_GRACE_SECONDS
-from ...coordination.requests.holders import Member, find_incarnation
+from ...coordination.requests.views import Member, hash_incarnation
 from ...core import Kernel
 from ...helpers.logging import warn_event
 from ...helpers.metrics import Sample, SampleKind
@@ -16,22 +20,22 @@
 from ...model.record import FrontKind
 from ...model.target import Target, TargetState
 from ...settings import AgentSettings
-from .client import TargetClient
-from .desk import Desk
 from .dispatcher import Dispatcher
-from .front import Front
-from .intake import Intake
-from .keeper import Keeper
+from .http_server import HttpServer
+from .ledger_service import LedgerService
+from .peer_server import PeerServer
+from .request_handler import RequestHandler
+from .target_client import TargetClient
 
 TICK_SECONDS: Final = 0.02
 STOP_POLL_SECONDS: Final = 0.02
-# How long the other agents get to copy the outcomes that are kept here.
-LINGER_SECONDS: Final = 3.0
-HOLDING_STATES = (TargetState.READY, TargetState.SUSPECT)
+# How long a planned stop waits until the other agents have fetched the outcomes.
+REPLICATION_TIMEOUT_SECONDS: Final = 3.0
+REPLICA_STATES = (TargetState.READY, TargetState.SUSPECT)
 
 
-class Requests:
-    """Tie the parts of the front together and follow the configuration."""
+class RequestsComponent:
+    """Connect the parts of the HTTP front end and apply configurations to them."""
 
     def __init__(self, kernel: Kernel, settings: AgentSettings) -> None:
         self._kernel = kernel
@@ -40,121 +44,131 @@
         client = TargetClient(settings.target.streams)
         credentials = make_channel_credentials(settings.tls)
         self.dispatcher = Dispatcher(client, clock, credentials)
-        self.keeper = Keeper(self.dispatcher.peers, clock)
-        self.desk = Desk(self.dispatcher, self.keeper, clock)
-        self.front = Front(self.desk, clock)
-        self.intake: Intake | None = None
+        self.ledger_service = LedgerService(self.dispatcher.peers, clock)
+        self.request_handler = RequestHandler(
+            self.dispatcher, self.ledger_service, clock
+        )
+        self.front = HttpServer(self.request_handler, clock)
+        self.peer_server: PeerServer | None = None
         if settings.rpc is not None:
-            self.intake = Intake(
+            self.peer_server = PeerServer(
                 settings.rpc,
                 self.dispatcher,
-                self.keeper,
-                self.desk,
+                self.ledger_service,
+                self.request_handler,
                 make_server_credentials(settings.tls),
             )
-        self._part: ServiceSlice | None = None
-        self._followed = 0
+        self._slice: ServiceSlice | None = None
+        self._applied_incarnation = 0
         self._tasks = [
             kernel.spawn("requests_tick", self._run_ticks),
-            kernel.spawn("requests_views", self.keeper.open_views),
+            kernel.spawn("requests_views", self.ledger_service.open_views),
         ]
 
-    def follow(self, configuration: Configuration) -> None:
-        """Note the slice of the agent's own service."""
-        wanted = self._settings.target
-        for part in configuration.slices.values():
-            service = part.service
-            if (service.business, service.name) == (wanted.business, wanted.service):
-                self._part = part
-                self._apply()
+    def update_configuration(self, configuration: Configuration) -> None:
+        """Apply the slice of the agent's own service."""
+        expected = self._settings.target
+        for slice_ in configuration.slices.values():
+            service = slice_.service
+            if (service.business, service.name) == (
+                expected.business,
+                expected.service,
+            ):
+                self._slice = slice_
+                self._apply_slice()
 
     def _run_ticks(self) -> None:
         while True:
             gevent.sleep(TICK_SECONDS)
             announcement = self._kernel.find("announcement")
-            if self._followed != announcement.incarnation:
-                self._apply()
+            if self._applied_incarnation != announcement.incarnation:
+                self._apply_slice()
             if announcement.leaving and not self.dispatcher.admission.stopping:
                 self.dispatcher.stop()
-            if self._part is not None and self._part.service.front == FrontKind.HTTP:
+            if self._slice is not None and self._slice.service.front == FrontKind.HTTP:
                 self.dispatcher.tick()
 
-    def _apply(self) -> None:
+    def _apply_slice(self) -> None:
         announcement = self._kernel.find("announcement")
-        part = self._part
-        if part is None or part.service.front != FrontKind.HTTP:
+        slice_ = self._slice
+        if slice_ is None or slice_.service.front != FrontKind.HTTP:
             return
-        self._followed = announcement.incarnation
-        service = part.service
+        self._applied_incarnation = announcement.incarnation
+        service = slice_.service
         self.front.policy = service.requests
-        own = self._find_own(part, announcement)
-        warm_deadline = own.warm_deadline if own else 0.0
-        self.dispatcher.follow(service.slots, service.requests, warm_deadline)
-        if own is not None:
-            self._join(part, own)
+        local_target = self._find_local_target(slice_, announcement)
+        warm_deadline = local_target.warm_deadline if local_target else 0.0
+        self.dispatcher.update_service(service.slots, service.requests, warm_deadline)
+        if local_target is not None:
+            self._update_members(slice_, local_target)
 
     @staticmethod
-    def _find_own(part: ServiceSlice, announcement: Any) -> Target | None:
-        """Return this process as the slice knows it, or None until it does.
+    def _find_local_target(slice_: ServiceSlice, announcement: Any) -> Target | None:
+        """Return the target with this agent process in the slice, or None without it.
 
-        A slice from before a restart holds the target with the former process: what
-        that one kept is lost, so this process must not answer in its name.
+        A slice from before a restart contains the previous process of the agent. Its
+        ledger is lost, so this process must not act as that replica.
         """
-        wanted = (announcement.incarnation, announcement.agent_session)
-        for target in part.targets:
-            if (target.incarnation, target.announcement.agent_session) == wanted:
+        expected = (announcement.incarnation, announcement.agent_session)
+        for target in slice_.targets:
+            if (target.incarnation, target.announcement.agent_session) == expected:
                 return target
         return None
 
-    def _join(self, part: ServiceSlice, own: Target) -> None:
+    def _update_members(self, slice_: ServiceSlice, local_target: Target) -> None:
         addresses = {
-            identify(one): one.announcement.rpc
-            for one in part.targets
-            if one.announcement.rpc is not None
+            find_agent_incarnation(target): target.announcement.rpc
+            for target in slice_.targets
+            if target.announcement.rpc is not None
         }
-        incarnation = identify(own)
-        self.dispatcher.peers.follow(incarnation, addresses)
-        self.keeper.follow(
+        incarnation = find_agent_incarnation(local_target)
+        self.dispatcher.peers.update_addresses(incarnation, addresses)
+        self.ledger_service.update_members(
             incarnation,
-            part.revision,
-            list_members(part.targets),
-            is_founding(part),
-            part.service.requests.retention_ms / 1000,
+            slice_.revision,
+            list_members(slice_.targets),
+            has_never_lost_agent(slice_),
+            slice_.service.requests.retention_ms / 1000,
         )
 
     def is_ready(self) -> bool:
-        """Tell whether new requests are taken."""
+        """Return whether new requests are accepted."""
         return not self.dispatcher.admission.stopping
 
     def stop(self) -> None:
-        """Finish what has started, refuse the rest, within the grace time."""
+        """Finish running requests and refuse the others, within the grace period."""
         self.dispatcher.stop()
-        deadline = time.monotonic() + STOP_GRACE_SECONDS - LINGER_SECONDS - 2.0
-        while self._count_busy() and time.monotonic() < deadline:
+        deadline = (
+            time.monotonic() + STOP_GRACE_SECONDS - REPLICATION_TIMEOUT_SECONDS - 2.0
+        )
+        while self._count_active() and time.monotonic() < deadline:
             gevent.sleep(STOP_POLL_SECONDS)
-        if self._count_busy():
-            warn_event("requests_cut", count=self._count_busy())
-        linger_deadline = time.monotonic() + LINGER_SECONDS
-        while not self.keeper.is_handed_over() and time.monotonic() < linger_deadline:
+        if self._count_active():
+            warn_event("requests_cut", count=self._count_active())
+        replication_deadline = time.monotonic() + REPLICATION_TIMEOUT_SECONDS
+        while (
+            not self.ledger_service.is_replicated()
+            and time.monotonic() < replication_deadline
+        ):
             gevent.sleep(STOP_POLL_SECONDS)
         self.front.close()
         gevent.killall(self._tasks)
-        if self.intake is not None:
-            self.intake.stop()
+        if self.peer_server is not None:
+            self.peer_server.stop()
         self.dispatcher.peers.close()
 
-    def _count_busy(self) -> int:
-        return self.dispatcher.busy + self.front.busy
+    def _count_active(self) -> int:
+        return self.dispatcher.active_count + self.front.active_count
 
     def list_samples(self) -> Iterable[Sample]:
-        """Return the counters for the metrics page."""
+        """Yield the samples for the metrics page."""
         admission = self.dispatcher.admission
         gauges = {
             "running": len(admission.running),
             "queued": admission.queued,
-            "feeds": self.dispatcher.feeds,
-            "ledger_open": int(self.keeper.is_open),
-            "ledger_bytes": self.keeper.used_bytes,
+            "feeds": self.dispatcher.event_streams,
+            "ledger_open": int(self.ledger_service.is_open),
+            "ledger_bytes": self.ledger_service.used_bytes,
         }
         for name, value in gauges.items():
             yield Sample(f"ibisshunt_requests_{name}", SampleKind.GAUGE, {}, value)
@@ -168,34 +182,34 @@
         return {
             "ready": self.is_ready(),
             "requests": self.dispatcher.dump(),
-            "ledger": self.keeper.dump(),
+            "ledger": self.ledger_service.dump(),
         }
 
 
-def identify(target: Target) -> int:
-    """Return the number of the agent's process beside a target."""
-    return find_incarnation(target.incarnation, target.announcement.agent_session)
+def find_agent_incarnation(target: Target) -> int:
+    """Return the incarnation of the agent process beside a target."""
+    return hash_incarnation(target.incarnation, target.announcement.agent_session)
 
 
 def list_members(targets: Iterable[Target]) -> list[Member]:
-    """Return the agents that keep outcomes: those that stay and can be called."""
+    """Return the agents that store outcomes: those that stay and can be called."""
     return [
-        Member(identify(one), one.name, one.failure_domain)
-        for one in targets
-        if one.state in HOLDING_STATES and one.announcement.rpc is not None
+        Member(find_agent_incarnation(target), target.name, target.failure_domain)
+        for target in targets
+        if target.state in REPLICA_STATES and target.announcement.rpc is not None
     ]
 
 
-def is_founding(part: ServiceSlice) -> bool:
-    """Tell whether no agent of the service has ever left."""
-    stays = all(target.state in HOLDING_STATES for target in part.targets)
-    return stays and part.left_revision == 0
+def has_never_lost_agent(slice_: ServiceSlice) -> bool:
+    """Return whether no agent has ever left the service."""
+    all_active = all(target.state in REPLICA_STATES for target in slice_.targets)
+    return all_active and slice_.left_revision == 0
 
 
-def setup(kernel: Kernel, settings: AgentSettings) -> Requests:
-    """Start the front of one agent; register it as ``front``."""
-    requests = Requests(kernel, settings)
-    kernel.find("configuration").subscribe(requests.follow)
+def setup(kernel: Kernel, settings: AgentSettings) -> RequestsComponent:
+    """Start the HTTP front end of one agent; register its server as ``front``."""
+    requests = RequestsComponent(kernel, settings)
+    kernel.find("configuration").subscribe(requests.update_configuration)
     if kernel.has("metrics"):
         kernel.find("metrics").collect(requests.list_samples)
     kernel.register(
--- a/ibisshunt/components/requests/front.py
+++ b/ibisshunt/components/requests/http_server.py
@@ -1,4 +1,4 @@
-"""Speak HTTP/1.1 with the callers of the agent's service."""
+"""Serve HTTP/1.1 to the callers of the agent's service."""
 
 import contextlib
 import hashlib
@@ -12,18 +12,22 @@
 from gevent.pywsgi import WSGIHandler, WSGIServer
 from returns.result import Failure, Result, Success
 
-from ...helpers.clock import read_shared_clock
+from ...helpers.clock import read_wall_clock
 from ...helpers.relay import reset_connection
 from ...model.address import Address
 from ...model.record import RequestPolicy
-from ...protocol.requests import Outcome, Part, PartKind, Request
-from .client import is_hop_by_hop
-from .desk import CallerLeftError, Desk
+from ...protocol.requests import Outcome, Request, ResponsePart, ResponsePartKind
+from .request_handler import CallerDisconnectedError, RequestHandler
+from .target_client import is_hop_by_hop
 
 MAX_BODY_BYTES: Final = 1024 * 1024
 MAX_KEY_CHARACTERS: Final = 255
-STATUS_OF: Final = {Outcome.NOT_RUN: 503, Outcome.UNKNOWN: 504, Outcome.DONE: 409}
-REASONS: Final = {
+STATUS_BY_OUTCOME: Final = {
+    Outcome.NOT_RUN: 503,
+    Outcome.UNKNOWN: 504,
+    Outcome.DONE: 409,
+}
+REASON_PHRASES: Final = {
     400: "Bad Request",
     409: "Conflict",
     413: "Content Too Large",
@@ -33,15 +37,15 @@
 }
 
 
-class PartialAnswerError(Exception):
-    """End the connection: the caller has got a part of an answer that has no end."""
+class IncompleteResponseError(Exception):
+    """Abort the connection: the response has begun and cannot be completed."""
 
 
-CUT_ERRORS: Final = (PartialAnswerError, CallerLeftError)
+ABORT_ERRORS: Final = (IncompleteResponseError, CallerDisconnectedError)
 
 
-class _Handler(WSGIHandler):
-    """Take the caller from the preamble of the relay, and keep its socket."""
+class _ConnectionHandler(WSGIHandler):
+    """Handle a connection whose caller address comes from the relay's preamble."""
 
     def get_environ(self) -> dict[str, Any]:
         environ = super().get_environ()
@@ -50,33 +54,35 @@
         return environ
 
     def log_error(self, msg: str, *args: Any) -> None:
-        """Write nothing: what a caller sends is no event of ours."""
+        """Write nothing: malformed input of a caller is not worth a log line."""
 
-    def handle_error(self, kind: Any, value: Any, trace: Any) -> None:
-        """Cut the connection when an answer can't be finished.
+    def handle_error(self, error_type: Any, value: Any, traceback: Any) -> None:
+        """Reset the connection when a response cannot be completed.
 
-        A connection that ends in order could make a part look whole to a caller that
-        does not check the length.
+        After an orderly close an incomplete response could look complete to a caller
+        that does not check its length.
         """
-        if self.headers_sent or isinstance(value, CUT_ERRORS):
+        if self.headers_sent or isinstance(value, ABORT_ERRORS):
             self.close_connection = True
             reset_connection(self.socket)
             return
-        super().handle_error(kind, value, trace)
+        super().handle_error(error_type, value, traceback)
 
 
-class Front:
-    """Own the connections of callers; registered as ``front``."""
+class HttpServer:
+    """Serve the connections of callers; registered as ``front``."""
 
-    def __init__(self, desk: Desk, clock: Callable[[], float]) -> None:
+    def __init__(
+        self, request_handler: RequestHandler, clock: Callable[[], float]
+    ) -> None:
         self.policy = RequestPolicy()
-        self.busy = 0
+        self.active_count = 0
         self.outcomes: Counter[str] = Counter()
         self._connections: set[socket.socket] = set()
-        self._desk = desk
+        self._request_handler = request_handler
         self._clock = clock
         self._server = WSGIServer(
-            ("127.0.0.1", 0), self._serve, handler_class=_Handler, log=None
+            ("127.0.0.1", 0), self._serve, handler_class=_ConnectionHandler, log=None
         )
         self._server.environ.update(SERVER_NAME="ibisshunt", SERVER_PORT="0")
 
@@ -84,74 +90,76 @@
         """Serve the requests of one connection until it ends."""
         self._connections.add(connection)
         try:
-            _Handler(connection, caller.as_pair(), self._server).handle()
-        except CallerLeftError:
+            _ConnectionHandler(connection, caller.as_pair(), self._server).handle()
+        except CallerDisconnectedError:
             reset_connection(connection)
         finally:
             self._connections.discard(connection)
 
     def close(self) -> None:
-        """Close the connections that wait for a next request.
+        """Shut down the connections of callers.
 
-        A caller with an open connection and no request would hold up a planned stop.
+        A caller with an open connection and no request would delay a planned stop.
         """
         for connection in [*self._connections]:
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
     def _serve(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        arrived = self._clock()
+        arrived_at = self._clock()
         result = read_request(environ)
         if isinstance(result, Failure):
             return _refuse(start, *result.failure())
         request = result.unwrap()
-        deadline = find_deadline(environ, self.policy.timeout_ms / 1000, arrived)
-        return self._relay(environ, start, request, deadline)
+        deadline = find_deadline(environ, self.policy.timeout_ms / 1000, arrived_at)
+        return self._respond(environ, start, request, deadline)
 
-    def _note_outcome(self, start: Any) -> Any:
-        def note(status: str, headers: list[tuple[str, str]]) -> Any:
-            told = dict(headers).get("Ibisshunt-Outcome", "")
-            self.outcomes[told] += 1
+    def _count_outcome(self, start: Any) -> Any:
+        def start_counted(status: str, headers: list[tuple[str, str]]) -> Any:
+            outcome = dict(headers).get("Ibisshunt-Outcome", "")
+            self.outcomes[outcome] += 1
             return start(status, headers)
 
-        return note
+        return start_counted
 
-    def _relay(
+    def _respond(
         self, environ: dict[str, Any], start: Any, request: Request, deadline: float
     ) -> Iterator[bytes]:
         task = gevent.getcurrent()
-        watch = gevent.spawn(_watch, environ["ibisshunt.handler"].socket, task)
-        parts = self._desk.answer(request, deadline)
-        self.busy += 1
+        watcher_task = gevent.spawn(
+            _watch_disconnect, environ["ibisshunt.handler"].socket, task
+        )
+        parts = self._request_handler.handle(request, deadline)
+        self.active_count += 1
         try:
-            yield from _write(self._note_outcome(start), parts)
+            yield from _write_response(self._count_outcome(start), parts)
         finally:
-            self.busy -= 1
-            watch.kill(block=False)
+            self.active_count -= 1
+            watcher_task.kill(block=False)
             parts.close()
 
 
-def _write(start: Any, parts: Iterator[Part]) -> Iterator[bytes]:
+def _write_response(start: Any, parts: Iterator[ResponsePart]) -> Iterator[bytes]:
     first = next(parts, None)
-    if first is None or first.kind == PartKind.REFUSAL:
+    if first is None or first.kind == ResponsePartKind.REFUSAL:
         yield from _refuse_part(start, first)
         return
     headers = [*first.headers, ("Ibisshunt-Outcome", Outcome.DONE.value)]
     start(f"{first.status} {first.reason}", headers)
     yield b""
     for part in parts:
-        if part.kind == PartKind.END:
+        if part.kind == ResponsePartKind.END:
             return
-        if part.kind == PartKind.REFUSAL:
+        if part.kind == ResponsePartKind.REFUSAL:
             break
         yield part.data
-    raise PartialAnswerError("the answer has no end")
+    raise IncompleteResponseError("response ended without its last part")
 
 
-def _refuse_part(start: Any, part: Part | None) -> Iterable[bytes]:
+def _refuse_part(start: Any, part: ResponsePart | None) -> Iterable[bytes]:
     if part is None:
         return _refuse(start, 504, Outcome.UNKNOWN, "no answer")
-    status = part.status or STATUS_OF[part.outcome]
+    status = part.status or STATUS_BY_OUTCOME[part.outcome]
     return _refuse(start, status, part.outcome, part.reason, part.retry_after)
 
 
@@ -166,14 +174,14 @@
     ]
     if retry_after > 0:
         headers.append(("Retry-After", str(math.ceil(retry_after))))
-    start(f"{status} {REASONS[status]}", headers)
+    start(f"{status} {REASON_PHRASES[status]}", headers)
     return [body]
 
 
 def read_request(
     environ: dict[str, Any],
 ) -> Result[Request, tuple[int, Outcome, str]]:
-    """Return the whole request, or why it is refused."""
+    """Read a complete request, or return the status, outcome and reason of refusal."""
     try:
         body = environ["wsgi.input"].read(MAX_BODY_BYTES + 1)
     except OSError as error:
@@ -193,17 +201,17 @@
 
 def _make_request(environ: dict[str, Any], body: bytes, key: str) -> Request:
     method, path = environ["REQUEST_METHOD"], environ["ibisshunt.raw_path"]
-    keyed = bool(key) and method not in ("GET", "HEAD", "OPTIONS", "TRACE")
-    secret = environ.get("HTTP_AUTHORIZATION", "")
-    seal = "\n".join((method, path, secret, "")).encode() + body
+    has_key = bool(key) and method not in ("GET", "HEAD", "OPTIONS", "TRACE")
+    authorization = environ.get("HTTP_AUTHORIZATION", "")
+    content = "\n".join((method, path, authorization, "")).encode() + body
     return Request(
         method,
         path,
         tuple(_list_headers(environ, len(body))),
         body,
         environ["REMOTE_ADDR"],
-        hashlib.blake2b(key.encode(), digest_size=16).digest() if keyed else b"",
-        hashlib.blake2b(seal, digest_size=16).digest() if keyed else b"",
+        hashlib.blake2b(key.encode(), digest_size=16).digest() if has_key else b"",
+        hashlib.blake2b(content, digest_size=16).digest() if has_key else b"",
     )
 
 
@@ -215,18 +223,20 @@
         yield "Content-Length", str(size)
 
 
-def find_deadline(environ: dict[str, Any], longest: float, arrived: float) -> float:
-    """Return the steady time at which the caller no longer waits.
+def find_deadline(
+    environ: dict[str, Any], max_seconds: float, arrived_at: float
+) -> float:
+    """Return the time at which the caller stops waiting, in monotonic seconds.
 
     ``Ibisshunt-Deadline`` is in seconds since the epoch, ``Request-Timeout`` in
-    seconds; the record's timeout, ``longest``, is the upper bound.
+    seconds; the record's timeout, ``max_seconds``, is the upper bound.
     """
-    seconds = longest
-    if (wall := _read_number(environ, "HTTP_IBISSHUNT_DEADLINE")) is not None:
-        seconds = min(seconds, wall - read_shared_clock())
+    seconds = max_seconds
+    if (wall_deadline := _read_number(environ, "HTTP_IBISSHUNT_DEADLINE")) is not None:
+        seconds = min(seconds, wall_deadline - read_wall_clock())
     if (timeout := _read_number(environ, "HTTP_REQUEST_TIMEOUT")) is not None:
         seconds = min(seconds, timeout)
-    return arrived + seconds
+    return arrived_at + seconds
 
 
 def _read_number(environ: dict[str, Any], name: str) -> float | None:
@@ -237,19 +247,21 @@
     return number if math.isfinite(number) else None
 
 
-def _watch(connection: socket.socket, task: Any) -> None:
+def _watch_disconnect(connection: socket.socket, task: Any) -> None:
     """Interrupt the task when the caller closes its connection."""
     hub = gevent.get_hub()
     watcher = hub.loop.io(connection.fileno(), 1)
     try:
         hub.wait(watcher)
         try:
-            left = not connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            is_disconnected = not connection.recv(
+                1, socket.MSG_PEEK | socket.MSG_DONTWAIT
+            )
         except BlockingIOError:
             return
         except OSError:
-            left = True
-        if left:
-            gevent.kill(task, CallerLeftError())
+            is_disconnected = True
+        if is_disconnected:
+            gevent.kill(task, CallerDisconnectedError())
     finally:
         watcher.close()
--- a/ibisshunt/components/requests/peers.py
+++ b/ibisshunt/components/requests/peers.py
@@ -1,19 +1,19 @@
-"""Call the other agents of the service."""
+"""Call the other agents of the service over gRPC."""
 
 from collections.abc import Callable, Iterator
 from typing import Any, Final
 
 import grpc
 
-from ...coordination.requests.outcomes import (
+from ...coordination.requests.load_sharing import Load, LoadSharing
+from ...coordination.requests.messages import (
     Claim,
     ClaimReply,
-    Copy,
     Fetch,
+    FetchReply,
     Settle,
     Verdict,
 )
-from ...coordination.requests.sharing import Load, Sharing
 from ...exceptions import RpcError
 from ...helpers.logging import warn_event
 from ...model.address import Address
@@ -21,85 +21,88 @@
 from ...protocol.requests import (
     CLAIM,
     FETCH,
-    HAND,
+    HAND_OVER,
     PULL,
     SETTLE,
     ClaimCall,
     Envelope,
     FetchCall,
-    HandRequest,
-    Part,
+    HandOverRequest,
     PullRequest,
+    ResponsePart,
     SettleCall,
 )
 from ...protocol.rpc import Channel
 
-CALL_SECONDS: Final = 0.5
-FETCH_SECONDS: Final = 5.0
+CALL_TIMEOUT_SECONDS: Final = 0.5
+FETCH_TIMEOUT_SECONDS: Final = 5.0
 
 
 class Peers:
-    """Own the channels to the other agents; note the loads that they tell."""
+    """Own the channels to the other agents; store the loads that they report."""
 
     def __init__(
         self,
-        sharing: Sharing,
+        load_sharing: LoadSharing,
         clock: Callable[[], float],
-        load: Callable[[], Load],
+        report_load: Callable[[], Load],
         credentials: grpc.ChannelCredentials | None,
     ) -> None:
         self._credentials = credentials
         self.incarnation = 0
-        self._sharing = sharing
+        self._load_sharing = load_sharing
         self._clock = clock
-        self._load = load
+        self._report_load = report_load
         self._addresses: dict[int, Address] = {}
         self._channels: dict[int, Channel] = {}
 
-    def follow(self, incarnation: int, addresses: dict[int, Address]) -> None:
-        """Note who can be called; close channels that are no longer needed."""
+    def update_addresses(self, incarnation: int, addresses: dict[int, Address]) -> None:
+        """Set the agents that can be called; close channels that are not needed."""
         self.incarnation = incarnation
-        for one in [*self._channels]:
-            if addresses.get(one) != self._addresses.get(one):
-                self._channels.pop(one).close()
+        for peer in [*self._channels]:
+            if addresses.get(peer) != self._addresses.get(peer):
+                self._channels.pop(peer).close()
         self._addresses = dict(addresses)
-        self._sharing.keep_only(addresses)
+        self._load_sharing.retain(addresses)
 
     def list_known(self) -> tuple[int, ...]:
-        """Return the incarnations that can be called."""
-        return tuple(one for one in self._addresses if one != self.incarnation)
-
-    def claim(self, holder: int, claim: Claim) -> ClaimReply:
-        """Return the holder's reply; a holder that can't be reached says so."""
-        call = ClaimCall(self._wrap(holder), claim)
-        answer = self._call(holder, CLAIM, call)
-        if answer is None:
+        """Return the incarnations of the agents that can be called."""
+        return tuple(peer for peer in self._addresses if peer != self.incarnation)
+
+    def claim(self, replica: int, claim: Claim) -> ClaimReply:
+        """Return the replica's reply; UNREACHABLE when the call fails."""
+        call = ClaimCall(self._make_envelope(replica), claim)
+        reply = self._call(replica, CLAIM, call)
+        if reply is None:
             return ClaimReply(Verdict.UNREACHABLE)
-        return answer.reply
+        return reply.reply
 
-    def settle(self, holder: int, settle: Settle) -> bool:
-        """Tell an outcome; return whether the holder confirmed it."""
-        call = SettleCall(self._wrap(holder), settle)
-        return self._call(holder, SETTLE, call) is not None
+    def settle(self, replica: int, settle: Settle) -> bool:
+        """Report an outcome to a replica; return whether it has confirmed it."""
+        call = SettleCall(self._make_envelope(replica), settle)
+        return self._call(replica, SETTLE, call) is not None
 
-    def fetch(self, source: int, fetch: Fetch) -> Copy | None:
-        """Return a page of records, or None when the agent can't be reached."""
-        call = FetchCall(self._wrap(source), fetch)
-        return self._call(source, FETCH, call, FETCH_SECONDS)
+    def fetch(self, source: int, fetch: Fetch) -> FetchReply | None:
+        """Fetch a page of records; return None when the call fails."""
+        call = FetchCall(self._make_envelope(source), fetch)
+        return self._call(source, FETCH, call, FETCH_TIMEOUT_SECONDS)
 
     def pull(self, peer: int, idle: bool) -> int:
-        """Tell the own load and return how many requests are being handed over."""
-        answer = self._call(peer, PULL, PullRequest(self._wrap(peer), idle))
-        return answer.count if answer is not None else 0
-
-    def hand(
-        self, peer: int, make: Callable[[Envelope], HandRequest]
-    ) -> Iterator[Part]:
-        """Yield the parts of the answer; raise RpcError when the call breaks."""
-        channel = self._find(peer)
-        for part in channel.stream(HAND, make(self._wrap(peer))):
+        """Pull requests from an agent; return how many it forwards to this one."""
+        reply = self._call(peer, PULL, PullRequest(self._make_envelope(peer), idle))
+        return reply.count if reply is not None else 0
+
+    def forward(
+        self, peer: int, make_request: Callable[[Envelope], HandOverRequest]
+    ) -> Iterator[ResponsePart]:
+        """Forward a request and yield the parts of the response.
+
+        Raise RpcError when the call breaks.
+        """
+        channel = self._get_channel(peer)
+        for part in channel.stream(HAND_OVER, make_request(self._make_envelope(peer))):
             if part.load is not None:
-                self._sharing.hear(peer, part.load, self._clock())
+                self._load_sharing.update_load(peer, part.load, self._clock())
             yield part
 
     def close(self) -> None:
@@ -108,25 +111,29 @@
             channel.close()
         self._channels.clear()
 
-    def _wrap(self, receiver: int) -> Envelope:
-        return Envelope(self.incarnation, receiver, self._load())
+    def _make_envelope(self, receiver: int) -> Envelope:
+        return Envelope(self.incarnation, receiver, self._report_load())
 
-    def _find(self, peer: int) -> Channel:
+    def _get_channel(self, peer: int) -> Channel:
         if peer not in self._channels:
             self._channels[peer] = Channel(self._addresses[peer], self._credentials)
         return self._channels[peer]
 
     def _call(
-        self, peer: int, method: Method, request: Any, timeout: float = CALL_SECONDS
+        self,
+        peer: int,
+        method: Method,
+        request: Any,
+        timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> Any:
         if peer not in self._addresses:
             return None
         try:
-            answer = self._find(peer).call(method, request, timeout)
+            reply = self._get_channel(peer).call(method, request, timeout)
         except RpcError as error:
-            self._sharing.set_aside(peer, self._clock())
+            self._load_sharing.suspend(peer, self._clock())
             warn_event("peer_failed", peer=peer, fault=error.fault)
             return None
-        if load := getattr(answer, "load", None):
-            self._sharing.hear(peer, load, self._clock())
-        return answer
+        if load := getattr(reply, "load", None):
+            self._load_sharing.update_load(peer, load, self._clock())
+        return reply
--- a/ibisshunt/components/requests/client.py
+++ b/ibisshunt/components/requests/target_client.py
@@ -1,4 +1,4 @@
-"""Run requests in the agent's own target."""
+"""Send requests to the agent's own target."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -11,11 +11,11 @@
 )
 
 from ...model.address import Address
-from ...protocol.requests import Outcome, Part, PartKind, Request
+from ...protocol.requests import Outcome, Request, ResponsePart, ResponsePartKind
 
-CONNECT_SECONDS: Final = 1.0
+CONNECT_TIMEOUT_SECONDS: Final = 1.0
 CHUNK_BYTES: Final = 64 * 1024
-HOP_BY_HOP: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         "connection",
         "keep-alive",
@@ -32,20 +32,20 @@
 
 
 class TargetClient:
-    """Send each request over a connection of its own.
+    """Send each request over a new connection.
 
-    A connection that is used again can bring the late answer of an earlier request,
-    or be closed by the target just as a request is sent, and then nobody knows whether
-    it ran. The target is on the same host, so a new connection costs little.
+    A reused connection can return the late response of an earlier request. Or the
+    target closes it while a request is sent, and it is unknown whether the request ran.
+    The target is on the same host, so a new connection costs little.
     """
 
     def __init__(self, address: Address) -> None:
         self.address = address
 
-    def run(self, request: Request, deadline: float) -> Iterator[Part]:
-        """Yield the parts of the answer; closing the iterator cancels the request.
+    def run(self, request: Request, deadline: float) -> Iterator[ResponsePart]:
+        """Yield the parts of the response; closing the iterator cancels the request.
 
-        ``deadline`` is wall-clock time and is told to the target.
+        ``deadline`` is wall-clock time in seconds and is sent to the target.
         """
         pool = urllib3.HTTPConnectionPool(
             self.address.ip, self.address.port, maxsize=1, retries=False
@@ -61,7 +61,7 @@
 
     def _exchange(
         self, pool: urllib3.HTTPConnectionPool, request: Request, deadline: float
-    ) -> Iterator[Part]:
+    ) -> Iterator[ResponsePart]:
         headers = urllib3.HTTPHeaderDict()
         for name, value in request.headers:
             headers.add(name, value)
@@ -72,38 +72,43 @@
             request.path,
             body=request.body or None,
             headers=headers,
-            timeout=urllib3.Timeout(connect=CONNECT_SECONDS),
+            timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_SECONDS),
             redirect=False,
             assert_same_host=False,
             preload_content=False,
             decode_content=False,
         )
         try:
-            yield from _read(request, response)
+            yield from _read_response(request, response)
         finally:
-            # An answer that was not read to its end must not stay in a pool, and the
-            # target sees by the close that nobody waits for it.
+            # A response that was not read completely must not stay in the pool, and
+            # the closed connection cancels the request at the target.
             response.close()
 
 
-def refuse(outcome: Outcome, reason: str, retry_after: float = 0.0) -> Part:
-    """Return the part that tells a caller why there is no answer."""
-    return Part(
-        PartKind.REFUSAL, outcome=outcome, reason=reason, retry_after=retry_after
+def refuse(outcome: Outcome, reason: str, retry_after: float = 0.0) -> ResponsePart:
+    """Return the part that tells a caller why there is no response."""
+    return ResponsePart(
+        ResponsePartKind.REFUSAL,
+        outcome=outcome,
+        reason=reason,
+        retry_after=retry_after,
     )
 
 
 def is_hop_by_hop(name: str) -> bool:
-    """Tell whether a header concerns one connection only."""
-    return name.lower() in HOP_BY_HOP
-
-
-def _read(request: Request, response: urllib3.BaseHTTPResponse) -> Iterator[Part]:
-    # Without a length or chunks the end of an answer is the end of the connection,
-    # which a target that dies looks like, too. It must not pass for a whole one.
-    bodyless = request.method == "HEAD" or response.status in (204, 304)
-    delimited = "content-length" in response.headers or response.chunked
-    if not (bodyless or delimited):
+    """Return whether a header applies to a single connection only."""
+    return name.lower() in HOP_BY_HOP_HEADERS
+
+
+def _read_response(
+    request: Request, response: urllib3.BaseHTTPResponse
+) -> Iterator[ResponsePart]:
+    # Without a length or chunks a response ends with its connection, which a target
+    # that dies closes as well: an incomplete response would look complete.
+    has_no_body = request.method == "HEAD" or response.status in (204, 304)
+    is_delimited = "content-length" in response.headers or response.chunked
+    if not (has_no_body or is_delimited):
         yield refuse(Outcome.UNKNOWN, "the end of the target's answer can't be told")
         return
     headers = tuple(
@@ -111,11 +116,13 @@
         for name, value in response.headers.iteritems()
         if not is_hop_by_hop(name)
     )
-    yield Part(PartKind.HEAD, response.status, response.reason or "", headers)
-    if not bodyless:
+    yield ResponsePart(
+        ResponsePartKind.HEAD, response.status, response.reason or "", headers
+    )
+    if not has_no_body:
         for data in _read_body(response):
-            yield Part(PartKind.DATA, data=data)
-    yield Part(PartKind.END)
+            yield ResponsePart(ResponsePartKind.DATA, data=data)
+    yield ResponsePart(ResponsePartKind.END)
 
 
 def _read_body(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
@@ -124,5 +131,5 @@
         return
     while data := response.read1(CHUNK_BYTES, decode_content=False):
         yield data
-    # A read of what is left raises when the body is shorter than its length.
+    # Reading the rest raises an error if the body is shorter than its length.
     response.read(decode_content=False)
--- a/ibisshunt/components/standin/__init__.py
+++ b/ibisshunt/components/standin/__init__.py
@@ -1,4 +1,4 @@
-"""Stand in for the fabric, callers and endpoints."""
+"""Simulate the packet fabric, callers and endpoints of a system."""
 
 from .endpoint import Endpoint
 from .fabric import Caller, Fabric, FlowBrokenError
--- a/ibisshunt/components/standin/fabric.py
+++ b/ibisshunt/components/standin/fabric.py
@@ -1,4 +1,4 @@
-"""Stand in for the fabric and the callers behind it."""
+"""Simulate the fabric and the callers whose packets it forwards."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -10,32 +10,32 @@
 
 from ...const import MAX_DATAGRAM_BYTES
 from ...model.address import Address
-from .segments import ACK, FIN, PUSH, RST, SYN, Segment, build_packet, read_segment
+from .segments import ACK, FIN, PUSH, RST, SYN, Segment, build_packet, parse_packet
 
-ANSWER_SECONDS: Final = 1.0
-ATTEMPTS: Final = 4
+REPLY_TIMEOUT_SECONDS: Final = 1.0
+MAX_ATTEMPTS: Final = 4
 
 
 class FlowBrokenError(Exception):
-    """Report that a flow got a reset or no answer."""
+    """Signal that a flow got a reset or no answer."""
 
 
 class Fabric:
-    """Hand packets to any balancer and answers to their callers."""
+    """Send packets to balancers, chosen by ``choose``, and replies to their callers."""
 
     def __init__(
         self,
-        replies: Address,
+        reply_address: Address,
         balancers: Sequence[Address],
         choose: Callable[[Sequence[Address]], Address],
     ) -> None:
         self.balancers = tuple(balancers)
-        self.handed: Counter[Address] = Counter()
+        self.sent_counts: Counter[Address] = Counter()
         self._choose = choose
-        self._waiting: dict[tuple[Address, Address], AsyncResult] = {}
+        self._pending_replies: dict[tuple[Address, Address], AsyncResult] = {}
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._socket.bind(replies.as_pair())
-        self.replies = Address(*self._socket.getsockname())
+        self._socket.bind(reply_address.as_pair())
+        self.reply_address = Address(*self._socket.getsockname())
         self._task = gevent.spawn(self._run)
 
     def close(self) -> None:
@@ -44,38 +44,38 @@
         self._socket.close()
 
     def send(self, data: bytes) -> None:
-        """Hand a packet to one balancer."""
+        """Send a packet to one balancer."""
         balancer = self._choose(self.balancers)
-        self.handed[balancer] += 1
+        self.sent_counts[balancer] += 1
         self._socket.sendto(data, balancer.as_pair())
 
-    def ask(self, segment: Segment) -> Segment:
-        """Send a segment until an answer comes; raise FlowBrokenError without one."""
+    def exchange(self, segment: Segment) -> Segment:
+        """Send a segment until it is answered; raise FlowBrokenError if it never is."""
         pair = (segment.source, segment.destination)
-        for _ in range(ATTEMPTS):
-            self._waiting[pair] = AsyncResult()
+        for _ in range(MAX_ATTEMPTS):
+            self._pending_replies[pair] = AsyncResult()
             self.send(build_packet(segment))
             try:
-                return self._waiting[pair].get(timeout=ANSWER_SECONDS)
+                return self._pending_replies[pair].get(timeout=REPLY_TIMEOUT_SECONDS)
             except gevent.Timeout:
                 continue
             finally:
-                self._waiting.pop(pair, None)
+                self._pending_replies.pop(pair, None)
         raise FlowBrokenError(f"no answer to {segment.source}")
 
     def _run(self) -> None:
         while True:
             data, _ = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
-            segment = read_segment(data)
+            segment = parse_packet(data)
             if segment is None:
                 continue
-            waiting = self._waiting.get((segment.destination, segment.source))
-            if waiting is not None and not waiting.ready():
-                waiting.set(segment)
+            pending = self._pending_replies.get((segment.destination, segment.source))
+            if pending is not None and not pending.ready():
+                pending.set(segment)
 
 
 class Caller:
-    """Hold one TCP flow of a stand-in caller."""
+    """Run one TCP flow of a simulated caller."""
 
     def __init__(self, fabric: Fabric, source: Address, service: Address) -> None:
         self._fabric = fabric
@@ -85,20 +85,20 @@
         self._acknowledgment = 0
 
     def open(self) -> None:
-        """Make the handshake; raise FlowBrokenError when it is refused."""
-        reply = self._exchange(SYN, b"", 1)
-        if not reply.has(SYN):
+        """Open the flow with a SYN; raise FlowBrokenError when it is refused."""
+        reply = self._send_segment(SYN, b"", 1)
+        if not reply.has_flag(SYN):
             raise FlowBrokenError(f"{self._source} refused")
 
-    def ask(self, payload: bytes) -> bytes:
+    def send_request(self, payload: bytes) -> bytes:
         """Send data and return the answer; raise FlowBrokenError on a reset."""
-        return self._exchange(ACK | PUSH, payload, len(payload)).payload
+        return self._send_segment(ACK | PUSH, payload, len(payload)).payload
 
     def close(self) -> None:
-        """End the flow."""
-        self._exchange(FIN | ACK, b"", 1)
+        """Close the flow with a FIN."""
+        self._send_segment(FIN | ACK, b"", 1)
 
-    def _exchange(self, flags: int, payload: bytes, consumed: int) -> Segment:
+    def _send_segment(self, flags: int, payload: bytes, consumed: int) -> Segment:
         segment = Segment(
             self._source,
             self._service,
@@ -107,10 +107,10 @@
             flags,
             payload,
         )
-        reply = self._fabric.ask(segment)
-        if reply.has(RST):
+        reply = self._fabric.exchange(segment)
+        if reply.has_flag(RST):
             raise FlowBrokenError(f"{self._source} got a reset")
         self._sequence += consumed
-        extra = 1 if reply.has(SYN) or reply.has(FIN) else 0
-        self._acknowledgment = reply.sequence + len(reply.payload) + extra
+        flag_length = 1 if reply.has_flag(SYN) or reply.has_flag(FIN) else 0
+        self._acknowledgment = reply.sequence + len(reply.payload) + flag_length
         return reply
--- a/ibisshunt/components/standin/segments.py
+++ b/ibisshunt/components/standin/segments.py
@@ -1,4 +1,4 @@
-"""Build and read the IPv4 packets that the stand-ins exchange."""
+"""Build and parse the IPv4 packets of simulated callers and endpoints."""
 
 from dataclasses import dataclass
 
@@ -19,7 +19,7 @@
     flags: int
     payload: bytes = b""
 
-    def has(self, flag: int) -> bool:
+    def has_flag(self, flag: int) -> bool:
         """Tell whether a TCP flag is set."""
         return bool(self.flags & flag)
 
@@ -32,7 +32,7 @@
 
 
 def build_packet(segment: Segment) -> bytes:
-    """Return the IPv4 packet with its checksums."""
+    """Return the segment as an IPv4 packet with checksums."""
     tcp = dpkt.tcp.TCP(
         sport=segment.source.port,
         dport=segment.destination.port,
@@ -51,7 +51,7 @@
     return bytes(packet)
 
 
-def read_segment(data: bytes) -> Segment | None:
+def parse_packet(data: bytes) -> Segment | None:
     """Return the TCP segment in an IPv4 packet, or None when there is none."""
     try:
         packet = dpkt.ip.IP(data)
--- a/ibisshunt/components/standin/traffic.py
+++ b/ibisshunt/components/standin/traffic.py
@@ -1,4 +1,4 @@
-"""Send real traffic through a running system and tell what came back."""
+"""Send traffic through a running system and count the outcomes."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceAddress:
-    """Name a service and where callers reach it."""
+    """Hold a service's name and the address at which callers reach it."""
 
     name: str
     address: Address
@@ -23,13 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficSummary:
-    """Tell what became of the flows of one service."""
+    """Count the outcomes of the flows of one service.
+
+    ``misrouted`` counts answers of another service, or of another target than the one
+    that answered before on the same flow.
+    """
 
     service: str
     flows: int
     answers: int
     broken: int
-    wrong: int
+    misrouted: int
     by_target: dict[str, int]
 
 
@@ -41,20 +45,20 @@
     between_rounds: Callable[[int], None] = lambda _: None,
     first_port: int = FIRST_CALLER_PORT,
 ) -> TrafficSummary:
-    """Open flows, ask on each once a round, close them; count what happened.
+    """Open flows, send one request a round on each, close them; count the outcomes.
 
-    ``between_rounds`` is called with the number of the round that follows, so that a
-    caller can change the system while the flows are open.
+    ``between_rounds`` is called with the number of the next round, to change the system
+    while the flows are open.
     """
     counts: Counter[str] = Counter()
     targets: Counter[str] = Counter()
     callers = _open_flows(fabric, service, flows, first_port, counts)
-    owners: dict[Caller, bytes] = {}
+    holders: dict[Caller, bytes] = {}
     for number in range(rounds):
         between_rounds(number)
         for caller in list(callers):
-            _ask(caller, service.name, owners, callers, counts)
-    targets.update(owner.decode() for owner in owners.values())
+            _send_request(caller, service.name, holders, callers, counts)
+    targets.update(holder.decode() for holder in holders.values())
     for caller in callers:
         _close(caller, counts)
     return TrafficSummary(
@@ -87,22 +91,25 @@
     return callers
 
 
-def _ask(
+def _send_request(
     caller: Caller,
     service: str,
-    owners: dict[Caller, bytes],
+    holders: dict[Caller, bytes],
     callers: list[Caller],
     counts: Counter[str],
 ) -> None:
     try:
-        answer = caller.ask(b"request")
+        answer = caller.send_request(b"request")
     except FlowBrokenError:
         counts["broken"] += 1
         callers.remove(caller)
         return
-    found, target, _ = answer.split(b" ", 2)
+    answering_service, target, _ = answer.split(b" ", 2)
     counts["answers"] += 1
-    if found != service.encode() or owners.setdefault(caller, target) != target:
+    if (
+        answering_service != service.encode()
+        or holders.setdefault(caller, target) != target
+    ):
         counts["wrong"] += 1
 
 
@@ -114,19 +121,19 @@
 
 
 def fetch_page(address: Address, path: str, timeout: float = 5.0) -> str:
-    """Return the body that a service answers over the stream intake."""
-    return _send("GET", address, path, timeout, {})
+    """Return the body that a service answers to an HTTP GET request."""
+    return _fetch("GET", address, path, timeout, {})
 
 
-def post_once(address: Address, path: str, key: str, timeout: float = 5.0) -> str:
+def post_with_key(address: Address, path: str, key: str, timeout: float = 5.0) -> str:
     """Send a non-idempotent request under a key; return the body of the answer."""
-    return _send("POST", address, path, timeout, {"Idempotency-Key": key})
+    return _fetch("POST", address, path, timeout, {"Idempotency-Key": key})
 
 
-def _send(
+def _fetch(
     method: str, address: Address, path: str, timeout: float, headers: dict[str, str]
 ) -> str:
-    # A connection kept open for a next request would hold up a planned stop.
+    # A connection kept open for another request would delay a graceful stop.
     headers = {"Connection": "close", **headers}
     url = f"http://{address}{path}"
     reply = urllib3.request(
--- a/ibisshunt/components/storage/frames.py
+++ b/ibisshunt/components/storage/frames.py
@@ -1,4 +1,4 @@
-"""Frame records with a length and checksums, and read them back."""
+"""Frame records with a sequence number, length and checksums; read them back."""
 
 import struct
 from dataclasses import dataclass
@@ -8,15 +8,16 @@
 from ...exceptions import Fault, StorageError
 
 MAGIC = b"IBWL"
-# Magic, sequence number, payload length, payload checksum; then their checksum.
-FIELDS = struct.Struct("<4sQII")
-CHECKSUM = struct.Struct("<I")
-HEADER_BYTES = FIELDS.size + CHECKSUM.size
+# Magic, sequence number, payload length, payload checksum; the checksum of these
+# follows.
+HEADER_FIELDS = struct.Struct("<4sQII")
+HEADER_CHECKSUM = struct.Struct("<I")
+HEADER_BYTES = HEADER_FIELDS.size + HEADER_CHECKSUM.size
 
 
 @dataclass(frozen=True, slots=True)
-class Header:
-    """Describe one frame."""
+class FrameHeader:
+    """Hold the header of one frame; ``length`` and ``checksum`` are of its payload."""
 
     sequence: int
     length: int
@@ -24,25 +25,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scan:
-    """Hold the payloads of a file and the offset at which its sound part ends."""
+class ScanResult:
+    """Hold the payloads of a file and the length of its valid part in bytes."""
 
     payloads: tuple[bytes, ...]
-    end: int
+    valid_bytes: int
 
 
 def make_frame(sequence: int, payload: bytes) -> bytes:
     """Return the payload with its header."""
-    fields = FIELDS.pack(MAGIC, sequence, len(payload), crc32c(payload))
-    return fields + CHECKSUM.pack(crc32c(fields)) + payload
+    fields = HEADER_FIELDS.pack(MAGIC, sequence, len(payload), crc32c(payload))
+    return fields + HEADER_CHECKSUM.pack(crc32c(fields)) + payload
 
 
-def scan_frames(name: str, data: bytes) -> Scan:
-    """Read frames up to the end or a torn tail.
+def scan_frames(name: str, data: bytes) -> ScanResult:
+    """Read frames up to the end of the file or a torn last frame.
 
-    A frame is synced before the next one is written, so a crash can damage only the
-    last. Damage that is followed by anything sound hit a record that was synced, and
-    may have been accepted: raise StorageError instead of dropping it.
+    A frame is synced before the next one is written, so a crash can only damage the
+    last one. A damaged frame with valid data after it had been synced and may have
+    been acknowledged: raise StorageError instead of dropping it.
     """
     payloads: list[bytes] = []
     offset = 0
@@ -52,35 +53,39 @@
             break
         payloads.append(payload)
         offset += HEADER_BYTES + len(payload)
-    return Scan(tuple(payloads), offset)
+    return ScanResult(tuple(payloads), offset)
 
 
 def _read_frame(name: str, data: bytes, offset: int, sequence: int) -> bytes | None:
-    """Return the payload at an offset, or None for a torn tail."""
+    """Return the payload at an offset, or None for a torn last frame."""
     header = read_header(data, offset)
     if header is None or header.sequence != sequence:
         if _has_later_header(data, offset + 1, sequence):
-            raise _explain(name, offset, "header checksum fault before sound records")
+            raise _make_storage_error(
+                name, offset, "header checksum mismatch before valid records"
+            )
         return None
     start = offset + HEADER_BYTES
     payload = data[start : start + header.length]
     if len(payload) == header.length and crc32c(payload) == header.checksum:
         return payload
     if start + header.length < len(data):
-        raise _explain(name, offset, "checksum fault before later records")
+        raise _make_storage_error(
+            name, offset, "checksum mismatch before later records"
+        )
     return None
 
 
-def read_header(data: bytes, offset: int) -> Header | None:
-    """Return the header at an offset, or None when there is no sound one."""
+def read_header(data: bytes, offset: int) -> FrameHeader | None:
+    """Return the header at an offset, or None if there is no valid one."""
     raw = data[offset : offset + HEADER_BYTES]
     if len(raw) < HEADER_BYTES:
         return None
-    fields = raw[: FIELDS.size]
-    if CHECKSUM.unpack(raw[FIELDS.size :])[0] != crc32c(fields):
+    fields = raw[: HEADER_FIELDS.size]
+    if HEADER_CHECKSUM.unpack(raw[HEADER_FIELDS.size :])[0] != crc32c(fields):
         return None
-    magic, sequence, length, checksum = FIELDS.unpack(fields)
-    return Header(sequence, length, checksum) if magic == MAGIC else None
+    magic, sequence, length, checksum = HEADER_FIELDS.unpack(fields)
+    return FrameHeader(sequence, length, checksum) if magic == MAGIC else None
 
 
 def _has_later_header(data: bytes, start: int, sequence: int) -> bool:
@@ -93,6 +98,6 @@
     return False
 
 
-def _explain(name: str, offset: int, reason: str) -> StorageError:
+def _make_storage_error(name: str, offset: int, reason: str) -> StorageError:
     reason = f"{reason} at offset {offset}; this host must be replaced"
     return StorageError(Fault("recover file", name, reason))
--- a/ibisshunt/components/web/__init__.py
+++ b/ibisshunt/components/web/__init__.py
@@ -1,10 +1,10 @@
-"""Answer HTTP/1.1 requests of the world around a node."""
+"""Serve HTTP/1.1 requests to a node from outside."""
 
 from collections.abc import Callable
 
 import msgspec
 
-# A request that does not fit is refused before it is read.
+# A request with a larger body is rejected before the body is read.
 MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
@@ -17,12 +17,12 @@
 
 
 class WebReply(msgspec.Struct, frozen=True):
-    """Hold one answer; ``status`` is the line's number and words."""
+    """Hold one reply; ``status`` is the status code and the reason phrase."""
 
     status: str
     body: bytes = b"{}"
-    kind: str = "application/json"
+    content_type: str = "application/json"
 
 
-Handle = Callable[[WebRequest], WebReply]
-TOO_LARGE = WebReply("413 Content Too Large")
+RequestHandler = Callable[[WebRequest], WebReply]
+TOO_LARGE_REPLY = WebReply("413 Content Too Large")
--- a/ibisshunt/components/web/metrics.py
+++ b/ibisshunt/components/web/metrics.py
@@ -1,27 +1,27 @@
-"""Serve the metrics page of a thin host."""
+"""Serve the metrics page on a host with little CPU and memory."""
 
 from collections.abc import Callable, Iterable
 
 from ...helpers.samples import Sample
-from . import Handle, WebReply, WebRequest
+from . import RequestHandler, WebReply, WebRequest
 
 METRICS_PATH = "/metrics"
-TEXT_KIND = "text/plain; version=0.0.4; charset=utf-8"
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
-def answer_metrics(collect: Callable[[], Iterable[Sample]]) -> Handle:
+def make_metrics_handler(collect: Callable[[], Iterable[Sample]]) -> RequestHandler:
     """Return the handler of the metrics page."""
 
     def handle(request: WebRequest) -> WebReply:
         if request.path != METRICS_PATH:
             return WebReply("404 Not Found")
-        # Here: the library costs a thin host 30 ms and 8 MB that it pays only when
-        # somebody looks.
+        # Imported on the first request: the library costs a small host 30 ms and 8 MB,
+        # which it needs only when somebody reads the page.
         from ...helpers.metrics import Metrics
 
         metrics = Metrics()
         metrics.collect(collect)
         body, _ = metrics.render()
-        return WebReply("200 OK", body, TEXT_KIND)
+        return WebReply("200 OK", body, METRICS_CONTENT_TYPE)
 
     return handle
--- a/ibisshunt/components/web/wsgi.py
+++ b/ibisshunt/components/web/wsgi.py
@@ -1,4 +1,4 @@
-"""Serve HTTP with gevent's WSGI server, for hosts that can afford its import."""
+"""Serve HTTP with gevent's WSGI server, on hosts that can afford its import."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,47 +7,50 @@
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
 from ...model.address import Address
-from . import MAX_BODY_BYTES, TOO_LARGE, Handle, WebReply, WebRequest
+from . import MAX_BODY_BYTES, TOO_LARGE_REPLY, RequestHandler, WebReply, WebRequest
 
-# Nobody reads it.
-GONE = WebReply("503 Service Unavailable")
+# Never read: the connection is closed.
+CLIENT_GONE_REPLY = WebReply("503 Service Unavailable")
 
-
-# Key under which a request finds the connection that it came by.
+# Key of the WSGI environment with the socket of the request's connection.
 CONNECTION_KEY = "ibisshunt.connection"
 
 
-class Handler(WSGIHandler):
-    """Serve one connection, and let its requests see whether the caller has left."""
+class ConnectionHandler(WSGIHandler):
+    """Serve one connection, and add its socket to the environment of its requests."""
 
     def get_environ(self) -> dict[str, Any]:
-        """Return what is known of the request."""
+        """Return the WSGI environment of a request."""
         environ = super().get_environ()
         environ[CONNECTION_KEY] = self.socket
         return environ
 
 
-def serve(address: Address, handle: Handle) -> WSGIServer:
-    """Start to serve; the caller stops the server."""
+def start_wsgi_server(address: Address, handle: RequestHandler) -> WSGIServer:
+    """Return a started server; the calling code has to stop it."""
 
-    def answer(environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        reply = _answer(environ, handle)
+    def application(environ: dict[str, Any], start: Any) -> Iterable[bytes]:
+        reply = _handle_request(environ, handle)
         headers = [
-            ("Content-Type", reply.kind),
+            ("Content-Type", reply.content_type),
             ("Content-Length", str(len(reply.body))),
         ]
         start(reply.status, headers)
         return [reply.body]
 
     server = WSGIServer(
-        address.as_pair(), answer, log=None, error_log=None, handler_class=Handler
+        address.as_pair(),
+        application,
+        log=None,
+        error_log=None,
+        handler_class=ConnectionHandler,
     )
     server.start()
     return server
 
 
-def _has_left(connection: Any) -> bool:
-    """Tell whether the caller has closed its connection."""
+def _is_closed_by_client(connection: Any) -> bool:
+    """Return whether the client has closed its connection."""
     connection.setblocking(False)
     try:
         return not connection.recv(1, socket.MSG_PEEK)
@@ -59,14 +62,15 @@
         connection.setblocking(True)
 
 
-def _answer(environ: dict[str, Any], handle: Handle) -> WebReply:
+def _handle_request(environ: dict[str, Any], handle: RequestHandler) -> WebReply:
     length = environ.get("CONTENT_LENGTH") or "0"
     if not length.isdigit() or int(length) > MAX_BODY_BYTES:
-        return TOO_LARGE
+        return TOO_LARGE_REPLY
     body = environ["wsgi.input"].read(int(length)) if int(length) else b""
-    if _has_left(environ[CONNECTION_KEY]):
-        # A host that was suspended finds calls that were made long ago. Carried out
-        # now, they could undo what the caller has ordered at another host since.
-        return GONE
+    if _is_closed_by_client(environ[CONNECTION_KEY]):
+        # A host that resumes after being suspended finds calls that were made long ago.
+        # Executed now, they could undo what the operator has since changed through
+        # another host.
+        return CLIENT_GONE_REPLY
     request = WebRequest(environ["REQUEST_METHOD"], environ["PATH_INFO"], body)
     return handle(request)
--- a/ibisshunt/const.py
+++ b/ibisshunt/const.py
@@ -1,4 +1,4 @@
-"""Name the constants that several parts share."""
+"""Define constants that several packages share."""
 
 from typing import Final
 
@@ -6,17 +6,17 @@
 EXIT_FAILURE: Final = 1
 EXIT_BAD_INPUT: Final = 2
 
-# How long a node may be silent before its lease ends, in seconds.
+# A lease that is not renewed for this time expires.
 LEASE_SECONDS: Final = 6.0
 HEARTBEAT_SECONDS: Final = 2.0
 
-# Time a cold target takes to reach its full share, in seconds.
+# Time from the start of a target until it gets its full share of new work.
 WARM_UP_SECONDS: Final = 10.0
 
-# A configuration must be in force everywhere after this many seconds.
+# Each node must apply a new configuration within this time.
 IN_FORCE_SECONDS: Final = 8.0
 
-# A planned stop waits no longer than this for work in progress, in seconds.
+# A planned stop waits at most this long for work in progress.
 STOP_GRACE_SECONDS: Final = 30.0
 
 MAX_DATAGRAM_BYTES: Final = 65_535
--- a/ibisshunt/coordination/__init__.py
+++ b/ibisshunt/coordination/__init__.py
@@ -1,10 +1,10 @@
-"""Offer the decisions that nodes take together, free of input and output.
+"""Distributed algorithms of the load balancer, without input or output.
 
-Each part takes events and the time, and returns what to do: the embedder owns sockets,
-disks, clocks and random numbers. None needs gevent, gRPC or the daemons.
+Each part takes events and the time, and returns what to do: the embedder provides
+sockets, disks, clocks and random numbers. No part needs gevent, gRPC or the daemons.
 
 =====================  ==================================================
-part                   where to start
+part                   entry points
 =====================  ==================================================
 replicated log         ``consensus.make_state``, ``handle`` and ``collect``
 record store           ``RecordStore.apply`` with ``parse_document``
@@ -15,9 +15,9 @@
 flow ownership         ``FlowOwner.handle``
 request admission      ``Admission.offer`` and ``start_next``
 at-most-once ledger    ``Ledger.claim`` and ``settle``
-flows asked for        ``forwarding.balancer.Balancer``, ``forwarding.agent.Agent``
-nodes that meet        ``directory.registry.Registry``, ``directory.contacts``
-highest version wins   ``versions.VersionStore``
+placement and search   ``forwarding.balancer.Balancer``, ``forwarding.agent.Agent``
+node discovery         ``directory.registry.Registry``, ``directory.node_view``
+configuration version  ``versions.VersionStore``
 drained domains        ``versions.FleetState``
 =====================  ==================================================
 
@@ -28,9 +28,9 @@
 from importlib import import_module
 from typing import Any
 
-# Where each name lives. A program that runs one part must not pay for the import of
-# all of them: a balancer has a quarter of a core to start on.
-_HOMES = {
+# Module that defines each name, imported on first use: a program that runs one part
+# must not pay for importing all of them, and a balancer has only a quarter of a core.
+_MODULES_BY_NAME = {
     "Admission": ".requests",
     "AnnounceTarget": ".records.commands",
     "ChangeRecords": ".records.commands",
@@ -69,9 +69,9 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import a part when it is first asked for."""
+    """Import a part on first use."""
     if name == "consensus":
         return import_module(".consensus", __name__)
-    if name not in _HOMES:
+    if name not in _MODULES_BY_NAME:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    return getattr(import_module(_HOMES[name], __name__), name)
+    return getattr(import_module(_MODULES_BY_NAME[name], __name__), name)
--- a/ibisshunt/coordination/consensus/__init__.py
+++ b/ibisshunt/coordination/consensus/__init__.py
@@ -1,39 +1,39 @@
-"""Decide how hosts agree on one log.
+"""Replicate a log across hosts with Raft, without input or output.
 
-Embedders make a state with ``make_state``, pass each event to ``handle`` and carry out
-what ``collect`` returns, in the order that ``Outputs`` gives. See
+Embedders create a state with ``make_state``, pass each event to ``handle`` and execute
+what ``collect`` returns, in the order that ``Outputs`` documents. See
 ``docs/design/consensus.md``.
 """
 
+from .dispatch import collect, handle, has_fresh_quorum
 from .faults import NotAccepted, NotConfirmed, OutcomeUnknown
-from .host import collect, handle, has_fresh_quorum
 from .messages import Entry, EntryKind, Envelope, Member, Membership, Snapshot
 from .state import (
-    Admit,
+    AddLearner,
+    BootstrapCluster,
     Compact,
     ConsensusSettings,
-    Found,
     HostState,
     Outputs,
     Propose,
     Read,
     Received,
-    Remove,
+    RemoveMember,
     Role,
     Synced,
     Tick,
-    Transfer,
+    TransferLeadership,
     make_state,
 )
 
 __all__ = [
-    "Admit",
+    "AddLearner",
+    "BootstrapCluster",
     "Compact",
     "ConsensusSettings",
     "Entry",
     "EntryKind",
     "Envelope",
-    "Found",
     "HostState",
     "Member",
     "Membership",
@@ -44,12 +44,12 @@
     "Propose",
     "Read",
     "Received",
-    "Remove",
+    "RemoveMember",
     "Role",
     "Snapshot",
     "Synced",
     "Tick",
-    "Transfer",
+    "TransferLeadership",
     "collect",
     "handle",
     "has_fresh_quorum",
--- a/ibisshunt/coordination/consensus/faults.py
+++ b/ibisshunt/coordination/consensus/faults.py
@@ -1,4 +1,4 @@
-"""Tell a proposal that has no effect apart from one whose outcome is unknown."""
+"""Faults of proposals and reads."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotAccepted(Fault):
-    """The command is not in the log and never will be; it is safe to try again."""
+    """The command is not in the log and never will be; a retry is safe."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown(Fault):
-    """The command may be accepted, now or later; resend it with its operation id."""
+    """The command may be committed, now or later; retry with its operation id."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotConfirmed(Fault):
-    """No quorum confirmed the read in time; what this host holds may be stale."""
+    """No quorum confirmed the read in time; the state of this host may be stale."""
--- a/ibisshunt/coordination/consensus/messages.py
+++ b/ibisshunt/coordination/consensus/messages.py
@@ -1,8 +1,8 @@
-"""Describe log entries, memberships and the messages between hosts.
+"""Log entries, memberships and the messages between hosts.
 
-The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014). A
-host is named ``name/disk``: its configured name and an id that was drawn once and is
-stored with its data, so that an empty disk is another host to the algorithm.
+The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014). A host
+id is ``name/disk``: the configured name and a random id that is stored with the data,
+so that a host that restarts with an empty disk counts as a different host.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,10 @@
 
 
 class EntryKind(StrEnum):
-    """Tell what an entry of the log holds."""
+    """Type of a log entry.
+
+    ``BARRIER`` is the no-op entry that a new leader appends in its term.
+    """
 
     COMMAND = "command"
     MEMBERSHIP = "membership"
@@ -19,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Name a host that receives the log; only voters count for a quorum."""
+    """A host that receives the log; only voters count towards a quorum."""
 
     host: str
     address: str
@@ -28,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """List the hosts that receive the log, in the order of their admission."""
+    """The hosts that receive the log, in the order in which they joined."""
 
     members: tuple[Member, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """Hold one entry of the log."""
+    """One entry of the log."""
 
     index: int
     term: int
@@ -46,7 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """Hold what must be on disk before a vote or reply leaves the host."""
+    """State that must be on disk before a vote or reply leaves the host.
+
+    ``vote`` is the candidate that got this host's vote in ``term``, or empty.
+    """
 
     cluster: str = ""
     term: int = 0
@@ -55,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogBase:
-    """Describe the last entry before the first one that the log still holds."""
+    """The last compacted entry: the log starts at the next index."""
 
     index: int = 0
     term: int = 0
@@ -64,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Hold the state machine as it was after the entry at ``index``."""
+    """Serialized state machine after applying the entry at ``index``."""
 
     index: int
     term: int
@@ -74,10 +80,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """Ask for a vote; ``pre`` asks whether one would be given.
+    """Request a vote; with ``pre``, ask whether it would be granted.
 
-    ``transfer`` says that the leader asked for this election, so a host that still
-    hears the leader need not protect it.
+    ``transfer`` marks an election that the leader requested, so that hosts in contact
+    with that leader grant votes too.
     """
 
     term: int
@@ -98,7 +104,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRequest:
-    """Send entries that follow ``previous_index``; none makes it a heartbeat."""
+    """Send entries that follow ``previous_index``; without entries, a heartbeat.
+
+    ``commit`` is the leader's commit index, ``round`` the heartbeat round.
+    """
 
     term: int
     previous_index: int
@@ -110,9 +119,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """Tell up to which index the log of the sender is on its disk.
+    """Report up to which index the sender's log matches and is on its disk.
 
-    A refusal echoes ``previous_index`` and proposes in ``match`` where to go on.
+    A rejection echoes ``previous_index`` and suggests in ``match`` where to continue.
     """
 
     term: int
@@ -124,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """Send one part of a snapshot of ``total`` bytes."""
+    """Send the part at ``offset`` of a snapshot of ``total`` bytes."""
 
     term: int
     index: int
@@ -138,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReply:
-    """Ask for the chunk at ``offset``, or tell that the snapshot is on disk."""
+    """Request the chunk at ``offset``, or report that the snapshot is on disk."""
 
     term: int
     index: int
@@ -149,10 +158,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """Ask the leader for an index from which a read is not stale.
+    """Request a read index from the leader: a read at that index is linearizable.
 
-    ``ticket`` must never be drawn twice by one host, also not after a restart: a
-    late reply to an old request would let a new read be stale.
+    ``ticket`` is the request id. A host must never reuse one, not even after a restart:
+    a late reply to an old request would make a new read stale.
     """
 
     ticket: int
@@ -160,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReply:
-    """Answer a read request; ``index`` is -1 when the sender cannot tell."""
+    """Answer a read request; ``index`` is -1 if the sender cannot confirm a read."""
 
     ticket: int
     index: int
@@ -168,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferNow:
-    """Ask the receiver to stand for election at once."""
+    """Ask the receiver to start an election at once; Raft's TimeoutNow."""
 
     term: int
 
--- a/ibisshunt/coordination/consensus/reads.py
+++ b/ibisshunt/coordination/consensus/reads.py
@@ -1,8 +1,8 @@
-"""Serve reads that are never stale, by read index.
+"""Confirm linearizable reads with Raft's read index.
 
-A lease by the monotonic clock would spare the round, but a clock that a suspended
-virtual machine or a drifting oscillator holds back makes it serve stale reads. One
-round of heartbeats answers all reads that wait, and trusts no clock.
+A leader lease based on the monotonic clock would save the heartbeat round, but serves
+stale reads if the clock lags, as in a suspended virtual machine or with a drifting
+oscillator. One round of heartbeats confirms all pending reads and relies on no clock.
 """
 
 from .membership import count_quorum, list_voters
@@ -12,80 +12,88 @@
 REFUSED_INDEX = -1
 
 
-def read(state: HostState, event: Read) -> None:
-    """Take a read of this host; a follower asks its leader."""
+def request_read(state: HostState, event: Read) -> None:
+    """Queue a read of this host; a follower requests the index from its leader."""
     if state.role is Role.LEADER:
-        state.new_reads.append(PendingRead(state.host, event.ticket, 0, 0))
+        state.queued_reads.append(PendingRead(state.host, event.request_id, 0, 0))
     elif state.leader:
-        send(state, state.leader, ReadRequest(event.ticket))
+        send(state, state.leader, ReadRequest(event.request_id))
     else:
-        state.out.refused.append(Refused(event.ticket, "no leader is known"))
+        state.outputs.refused.append(Refused(event.request_id, "no leader is known"))
 
 
 def on_read_request(state: HostState, sender: str, message: ReadRequest) -> None:
-    """Take a read of a follower."""
+    """Queue a read of a follower, or refuse it if this host does not lead."""
     if state.role is not Role.LEADER:
         send(state, sender, ReadReply(message.ticket, REFUSED_INDEX))
         return
-    state.new_reads.append(PendingRead(sender, message.ticket, 0, 0))
+    state.queued_reads.append(PendingRead(sender, message.ticket, 0, 0))
 
 
 def on_read_reply(state: HostState, message: ReadReply) -> None:
-    """Pass the answer of the leader on."""
+    """Output the leader's answer to a read of this host."""
     if message.index == REFUSED_INDEX:
-        state.out.refused.append(Refused(message.ticket, "the leader changed"))
+        state.outputs.refused.append(Refused(message.ticket, "the leader changed"))
         return
-    state.out.reads.append(ReadReady(message.ticket, message.index))
+    state.outputs.ready_reads.append(ReadReady(message.ticket, message.index))
 
 
-def bind_reads(state: HostState) -> bool:
-    """Give waiting reads the next round; return whether one must be sent.
+def assign_read_round(state: HostState) -> bool:
+    """Assign the next heartbeat round to queued reads; return whether there are any.
 
-    Before an entry of its own term is committed a new leader does not know all that
-    its predecessors accepted, so reads wait for that.
+    Until an entry of its own term is committed, a new leader does not know all entries
+    that its predecessors committed, so reads stay queued.
     """
-    if not state.new_reads or state.commit < state.barrier_index:
+    if not state.queued_reads or state.commit_index < state.noop_index:
         return False
-    for pending in state.new_reads:
-        pending.round = state.round + 1
-        pending.index = state.commit
-    state.reads += state.new_reads
-    state.new_reads = []
+    for pending in state.queued_reads:
+        pending.round = state.heartbeat_round + 1
+        pending.read_index = state.commit_index
+    state.unconfirmed_reads += state.queued_reads
+    state.queued_reads = []
     return True
 
 
 def confirm_reads(state: HostState) -> None:
-    """Answer the reads whose round a quorum has answered."""
-    if not state.reads:
+    """Answer the reads whose heartbeat round a quorum has acknowledged."""
+    if not state.unconfirmed_reads:
         return
     voters = list_voters(state.log.membership)
-    rounds = [_round_of(state, host) for host in voters]
-    confirmed = sorted(rounds, reverse=True)[count_quorum(voters) - 1]
-    ready = [pending for pending in state.reads if pending.round <= confirmed]
-    state.reads = [pending for pending in state.reads if pending.round > confirmed]
+    rounds = [_get_acknowledged_round(state, host) for host in voters]
+    confirmed_round = sorted(rounds, reverse=True)[count_quorum(voters) - 1]
+    ready = [
+        pending
+        for pending in state.unconfirmed_reads
+        if pending.round <= confirmed_round
+    ]
+    state.unconfirmed_reads = [
+        pending
+        for pending in state.unconfirmed_reads
+        if pending.round > confirmed_round
+    ]
     for pending in ready:
-        _answer(state, pending, pending.index)
+        _resolve_read(state, pending, pending.read_index)
 
 
-def fail_reads(state: HostState) -> None:
-    """Refuse all reads that wait, because this host no longer leads."""
-    for pending in state.reads + state.new_reads:
-        _answer(state, pending, REFUSED_INDEX)
-    state.reads = []
-    state.new_reads = []
+def refuse_reads(state: HostState) -> None:
+    """Refuse all pending reads because this host no longer leads."""
+    for pending in state.unconfirmed_reads + state.queued_reads:
+        _resolve_read(state, pending, REFUSED_INDEX)
+    state.unconfirmed_reads = []
+    state.queued_reads = []
 
 
-def _round_of(state: HostState, host: str) -> int:
+def _get_acknowledged_round(state: HostState, host: str) -> int:
     if host == state.host:
-        return state.round
+        return state.heartbeat_round
     progress = state.progress.get(host)
-    return progress.round if progress else 0
+    return progress.acknowledged_round if progress else 0
 
 
-def _answer(state: HostState, pending: PendingRead, index: int) -> None:
+def _resolve_read(state: HostState, pending: PendingRead, index: int) -> None:
     if pending.host != state.host:
-        send(state, pending.host, ReadReply(pending.ticket, index))
+        send(state, pending.host, ReadReply(pending.request_id, index))
     elif index == REFUSED_INDEX:
-        state.out.refused.append(Refused(pending.ticket, "the leader changed"))
+        state.outputs.refused.append(Refused(pending.request_id, "the leader changed"))
     else:
-        state.out.reads.append(ReadReady(pending.ticket, index))
+        state.outputs.ready_reads.append(ReadReady(pending.request_id, index))
--- a/ibisshunt/coordination/consensus/snapshot.py
+++ b/ibisshunt/coordination/consensus/snapshot.py
@@ -1,92 +1,100 @@
-"""Send a snapshot in chunks to a member that needs compacted entries."""
+"""Compact the log; send a snapshot in chunks to a member that lags behind it."""
 
 from .messages import LogBase, Snapshot, SnapshotChunk, SnapshotReply
-from .state import Compact, HostState, Incoming, Progress, promise, send
+from .state import Compact, HostState, IncomingSnapshot, Progress, send, send_after_sync
 
-RESEND_HEARTBEATS = 3
+CHUNK_RESEND_HEARTBEATS = 3
 
 
 def compact(state: HostState, event: Compact) -> None:
-    """Drop entries that the snapshot covers, but for some that slow members need."""
+    """Drop entries that the snapshot covers, except some for slow followers."""
     if state.snapshot is not None and event.snapshot.index < state.snapshot.index:
         return
     state.snapshot = event.snapshot
-    state.log.compact(_find_base(state, event.snapshot.index))
+    state.log.compact(_choose_compaction_index(state, event.snapshot.index))
 
 
-def _find_base(state: HostState, covered: int) -> int:
-    """Return up to which index to drop, so that what is kept stays small."""
-    index = covered
+def _choose_compaction_index(state: HostState, snapshot_index: int) -> int:
+    """Return up to which index to drop entries, within the retention limits."""
+    index = snapshot_index
     size = 0
-    lowest = max(state.log.base.index, covered - state.settings.kept_entries)
-    while index > lowest:
+    min_index = max(
+        state.log.base.index, snapshot_index - state.settings.retained_entries
+    )
+    while index > min_index:
         size += len(state.log.get(index).command)
-        if size > state.settings.kept_bytes:
+        if size > state.settings.retained_bytes:
             break
         index -= 1
     return index
 
 
 def start_snapshot(state: HostState, host: str, progress: Progress, now: float) -> None:
-    """Begin to send the newest snapshot."""
+    """Start sending the newest snapshot."""
     progress.snapshot = state.snapshot
-    progress.offset = 0
+    progress.snapshot_offset = 0
     if progress.snapshot is not None:
         _send_chunk(state, host, progress, now)
 
 
-def resend_chunk(state: HostState, host: str, progress: Progress, now: float) -> None:
-    """Send the present chunk again when no answer came in time."""
-    if now >= progress.resend_deadline:
+def resend_unanswered_chunk(
+    state: HostState, host: str, progress: Progress, now: float
+) -> None:
+    """Resend the current chunk if it was not acknowledged in time."""
+    if now >= progress.chunk_resend_deadline:
         _send_chunk(state, host, progress, now)
 
 
 def on_snapshot_reply(
     state: HostState, sender: str, message: SnapshotReply, now: float
 ) -> None:
-    """Send the next chunk, or go on with entries behind the snapshot."""
+    """Send the next chunk, or continue with the entries after the snapshot."""
     progress = state.progress.get(sender)
     if progress is None:
         return
     if message.installed:
-        progress.match = max(progress.match, message.index)
-        progress.next = max(progress.next, progress.match + 1)
+        progress.match_index = max(progress.match_index, message.index)
+        progress.next_index = max(progress.next_index, progress.match_index + 1)
         progress.snapshot = None
-        progress.unanswered = 0
+        progress.inflight_entries = 0
         return
-    sending = progress.snapshot
-    if sending is None or sending.index != message.index:
+    snapshot = progress.snapshot
+    if snapshot is None or snapshot.index != message.index:
         return
-    if message.offset != progress.offset:
-        progress.offset = message.offset
+    if message.offset != progress.snapshot_offset:
+        progress.snapshot_offset = message.offset
         _send_chunk(state, sender, progress, now)
 
 
 def on_snapshot_chunk(state: HostState, sender: str, message: SnapshotChunk) -> None:
-    """Collect chunks in their order; install the snapshot with the last one."""
-    if message.index <= state.commit:
-        _reply(state, sender, message, 0, installed=True)
+    """Collect chunks in order; install the snapshot with the last one."""
+    if message.index <= state.commit_index:
+        _send_snapshot_reply(state, sender, message, 0, installed=True)
         return
-    incoming = _find_incoming(state, message)
+    incoming = _get_incoming_snapshot(state, message)
     if message.offset == len(incoming.data):
         incoming.data += message.data
     if len(incoming.data) < message.total:
-        _reply(state, sender, message, len(incoming.data), installed=False)
+        _send_snapshot_reply(
+            state, sender, message, len(incoming.data), installed=False
+        )
         return
-    _install(state, message, bytes(incoming.data))
-    _reply(state, sender, message, message.total, installed=True)
+    _install_snapshot(state, message, bytes(incoming.data))
+    _send_snapshot_reply(state, sender, message, message.total, installed=True)
 
 
-def _find_incoming(state: HostState, message: SnapshotChunk) -> Incoming:
-    found = state.incoming
-    wanted = (message.index, message.snapshot_term)
-    if found is None or (found.index, found.term) != wanted:
-        found = Incoming(*wanted, bytearray())
-        state.incoming = found
-    return found
+def _get_incoming_snapshot(
+    state: HostState, message: SnapshotChunk
+) -> IncomingSnapshot:
+    incoming = state.incoming_snapshot
+    snapshot_id = (message.index, message.snapshot_term)
+    if incoming is None or (incoming.index, incoming.term) != snapshot_id:
+        incoming = IncomingSnapshot(*snapshot_id, bytearray())
+        state.incoming_snapshot = incoming
+    return incoming
 
 
-def _install(state: HostState, message: SnapshotChunk, data: bytes) -> None:
+def _install_snapshot(state: HostState, message: SnapshotChunk, data: bytes) -> None:
     snapshot = Snapshot(message.index, message.snapshot_term, message.membership, data)
     if state.log.term_at(snapshot.index) == snapshot.term:
         state.log.compact(snapshot.index)
@@ -94,33 +102,33 @@
         base = LogBase(snapshot.index, snapshot.term, snapshot.membership)
         state.log.reset(base)
         state.synced_index = 0
-    state.incoming = None
+    state.incoming_snapshot = None
     state.snapshot = snapshot
-    state.commit = snapshot.index
-    state.out.installed = snapshot
+    state.commit_index = snapshot.index
+    state.outputs.installed_snapshot = snapshot
 
 
 def _send_chunk(state: HostState, host: str, progress: Progress, now: float) -> None:
     snapshot = progress.snapshot
     if snapshot is None:
         return
-    end = progress.offset + state.settings.chunk_bytes
+    end = progress.snapshot_offset + state.settings.snapshot_chunk_bytes
     chunk = SnapshotChunk(
         state.term,
         snapshot.index,
         snapshot.term,
         snapshot.membership,
-        progress.offset,
+        progress.snapshot_offset,
         len(snapshot.data),
-        snapshot.data[progress.offset : end],
-        state.round,
+        snapshot.data[progress.snapshot_offset : end],
+        state.heartbeat_round,
     )
     send(state, host, chunk)
-    span = state.settings.heartbeat_seconds * RESEND_HEARTBEATS
-    progress.resend_deadline = now + span
+    timeout = state.settings.heartbeat_seconds * CHUNK_RESEND_HEARTBEATS
+    progress.chunk_resend_deadline = now + timeout
 
 
-def _reply(
+def _send_snapshot_reply(
     state: HostState,
     sender: str,
     message: SnapshotChunk,
@@ -128,4 +136,4 @@
     installed: bool,
 ) -> None:
     reply = SnapshotReply(state.term, message.index, offset, installed, message.round)
-    promise(state, sender, reply)
+    send_after_sync(state, sender, reply)
--- a/ibisshunt/coordination/consensus/state.py
+++ b/ibisshunt/coordination/consensus/state.py
@@ -1,4 +1,4 @@
-"""Hold the state of one host, the events it takes and the outputs it gives."""
+"""State of one Raft host, the events it processes and the outputs it returns."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 
 class Role(StrEnum):
-    """Tell what a host does in its term."""
+    """Role of a host in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -27,12 +27,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsensusSettings:
-    """Bound times (seconds), batches (entries, bytes) and the number of voters.
+    """Timeouts (seconds), batch limits (entries, bytes) and number of voters.
 
-    While there are more voters than ``kept_voters``, one that was silent for
-    ``silent_seconds`` is removed; 0 leaves that to the operator. A host that has just
-    started stands after ``first_election_seconds`` or a little later, and each time
-    twice as late until it hears a leader; 0 leaves it the ordinary time.
+    The leader removes a member without contact for ``removal_timeout_seconds``, but no
+    voter while there are at most ``min_voters`` of them; 0 leaves removal to the
+    operator. Until a host has seen a leader since its start, its first election timeout
+    is ``first_election_seconds`` and doubles with each attempt up to
+    ``election_seconds``; 0 applies ``election_seconds`` from the start.
     """
 
     heartbeat_seconds: float = 0.2
@@ -41,83 +42,86 @@
     max_batch_entries: int = 256
     max_batch_bytes: int = 512 * 1024
     max_inflight_entries: int = 2_048
-    chunk_bytes: int = 256 * 1024
-    catch_up_entries: int = 64
-    kept_entries: int = 512
-    kept_bytes: int = 4 * 1024 * 1024
+    snapshot_chunk_bytes: int = 256 * 1024
+    max_promotion_lag_entries: int = 64
+    retained_entries: int = 512
+    retained_bytes: int = 4 * 1024 * 1024
     max_voters: int = 9
-    kept_voters: int = 0
-    silent_seconds: float = 3.0
+    min_voters: int = 0
+    removal_timeout_seconds: float = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A message arrived."""
+    """A message arrived from another host."""
 
     envelope: Envelope
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time went on."""
+    """Time has passed; timeouts are checked."""
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """A command shall be added to the log."""
+    """A client proposes a command for the log."""
 
-    ticket: int
+    request_id: int
     command: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """A read wants an index from which it is not stale."""
+    """A client requests a read index for a linearizable read."""
 
-    ticket: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Synced:
-    """All that earlier outputs asked to write, up to this entry, is on disk."""
+    """All writes of earlier outputs, up to this entry, are on disk."""
 
     index: int
     term: int
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """Make a new cluster; allowed only on a host without any state."""
+class BootstrapCluster:
+    """Create a new cluster; ignored on a host that has any state."""
 
     cluster: str
     membership: Membership
 
 
 @dataclass(frozen=True, slots=True)
-class Admit:
-    """A host that is no member asks to receive the log."""
+class AddLearner:
+    """A host that is not a member asks to join as a learner.
 
-    ticket: int
+    ``request_id`` is 0 if nobody waits for the outcome.
+    """
+
+    request_id: int
     host: str
     address: str
 
 
 @dataclass(frozen=True, slots=True)
-class Remove:
-    """An operator takes a lost host out."""
+class RemoveMember:
+    """An operator removes a lost host."""
 
-    ticket: int
+    request_id: int
     host: str
 
 
 @dataclass(frozen=True, slots=True)
-class Transfer:
-    """Hand the lead to another host before a planned stop."""
+class TransferLeadership:
+    """Transfer leadership to another voter before a planned stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class Compact:
-    """A snapshot is on disk; older entries may go."""
+    """A snapshot is on disk; entries that it covers may be dropped."""
 
     snapshot: Snapshot
 
@@ -128,91 +132,92 @@
     | Propose
     | Read
     | Synced
-    | Found
-    | Admit
-    | Remove
-    | Transfer
+    | BootstrapCluster
+    | AddLearner
+    | RemoveMember
+    | TransferLeadership
     | Compact
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """A proposal became the entry at ``index``; it is accepted once committed."""
+    """A proposal was appended at ``index``; it succeeds once it is committed."""
 
-    ticket: int
+    request_id: int
     index: int
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A proposal or read was not taken and has no effect."""
+    """A request was refused and has no effect."""
 
-    ticket: int
+    request_id: int
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read is not stale once the entry at ``index`` is applied."""
+    """A read is linearizable once the entry at ``index`` is applied."""
 
-    ticket: int
+    request_id: int
     index: int
 
 
 @dataclass(slots=True)
 class Outputs:
-    """Collect what the host must do, in this order.
+    """What the host must do, in this order.
 
-    Write ``hard`` and ``entries``; send ``messages``; sync; give the event Synced;
-    send ``promises``, which claim what the sync made durable; apply up to commit.
+    Write ``hard_state`` and ``entries``; send ``messages``; sync; pass the event
+    Synced; send ``messages_after_sync``, which rely on the synced data; apply up to the
+    commit index.
     """
 
-    hard: HardState | None = None
+    hard_state: HardState | None = None
     entries: list[Entry] = field(default_factory=list)
-    installed: Snapshot | None = None
+    installed_snapshot: Snapshot | None = None
     messages: list[Envelope] = field(default_factory=list)
-    promises: list[Envelope] = field(default_factory=list)
+    messages_after_sync: list[Envelope] = field(default_factory=list)
     appended: list[Appended] = field(default_factory=list)
     refused: list[Refused] = field(default_factory=list)
-    reads: list[ReadReady] = field(default_factory=list)
+    ready_reads: list[ReadReady] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Progress:
-    """Hold what the leader knows of one other member.
+    """Replication progress of one other member, as the leader knows it.
 
-    ``heard_at`` is the time at which the newest round that the member answered was
-    sent, not the time of the answer: answers that lay in a queue prove nothing about
-    the present. ``known_at`` is when the leader began to send to it.
+    ``last_contact_at`` is when the newest round that the member acknowledged was sent,
+    not when the reply arrived: a reply that was delayed in a queue proves no recent
+    contact. ``tracked_since`` is when the leader began to replicate to the member.
     """
 
-    next: int
-    known_at: float = float("-inf")
-    match: int = 0
-    heard_at: float = float("-inf")
-    round: int = 0
-    unanswered: int = 0
-    commit_sent: int = 0
+    next_index: int
+    tracked_since: float = float("-inf")
+    match_index: int = 0
+    last_contact_at: float = float("-inf")
+    acknowledged_round: int = 0
+    inflight_entries: int = 0
+    sent_commit_index: int = 0
     snapshot: Snapshot | None = None
-    offset: int = 0
-    resend_deadline: float = 0.0
+    snapshot_offset: int = 0
+    chunk_resend_deadline: float = 0.0
 
 
 @dataclass(slots=True)
 class PendingRead:
-    """Hold a read until a quorum has answered ``round``."""
+    """A read that waits until a quorum has acknowledged heartbeat ``round``."""
 
     host: str
-    ticket: int
+    request_id: int
     round: int
-    index: int
+    read_index: int
 
 
 @dataclass(slots=True)
-class Incoming:
-    """Hold the part of a snapshot that has arrived."""
+class IncomingSnapshot:
+    """The received part of a snapshot."""
 
     index: int
     term: int
@@ -221,104 +226,109 @@
 
 @dataclass(slots=True)
 class HostState:
-    """Hold the state of one host."""
+    """State of one Raft host."""
 
     host: str
     settings: ConsensusSettings
-    draw: Callable[[], float]
-    hard: HardState
+    random_fraction: Callable[[], float]
+    hard_state: HardState
     log: Log
     snapshot: Snapshot | None = None
     role: Role = Role.FOLLOWER
     leader: str = ""
-    commit: int = 0
+    commit_index: int = 0
     synced_index: int = 0
     election_deadline: float = 0.0
-    # How often this host stood, and whether any leader was heard, since its start.
-    attempts: int = 0
-    has_met_leader: bool = False
-    leader_deadline: float = float("-inf")
+    # Elections this host started, and whether it had contact with a leader, since its
+    # start.
+    election_attempts: int = 0
+    has_seen_leader: bool = False
+    leader_contact_deadline: float = float("-inf")
     votes: set[str] = field(default_factory=set)
     progress: dict[str, Progress] = field(default_factory=dict)
     heartbeat_deadline: float = 0.0
     elected_at: float = 0.0
-    barrier_index: int = 0
-    round: int = 0
-    round_times: dict[int, float] = field(default_factory=dict)
-    new_reads: list[PendingRead] = field(default_factory=list)
-    reads: list[PendingRead] = field(default_factory=list)
-    incoming: Incoming | None = None
+    noop_index: int = 0
+    heartbeat_round: int = 0
+    round_sent_at: dict[int, float] = field(default_factory=dict)
+    queued_reads: list[PendingRead] = field(default_factory=list)
+    unconfirmed_reads: list[PendingRead] = field(default_factory=list)
+    incoming_snapshot: IncomingSnapshot | None = None
     transfer_target: str = ""
     transfer_deadline: float = 0.0
-    out: Outputs = field(default_factory=Outputs)
+    outputs: Outputs = field(default_factory=Outputs)
 
     @property
     def term(self) -> int:
-        """Return the present term."""
-        return self.hard.term
+        """Return the current term."""
+        return self.hard_state.term
 
 
 def make_state(
     host: str,
     settings: ConsensusSettings,
-    draw: Callable[[], float],
+    random_fraction: Callable[[], float],
     now: float,
-    hard: HardState | None = None,
+    hard_state: HardState | None = None,
     base: LogBase | None = None,
     entries: tuple[Entry, ...] = (),
     snapshot: Snapshot | None = None,
 ) -> HostState:
-    """Return the state of a host that starts with what its disk holds.
+    """Return the state of a host that starts with the given persisted data.
 
-    ``draw`` returns a number in [0, 1) and spreads the election timeouts.
+    ``random_fraction`` returns a float in [0, 1), which randomizes election timeouts.
     """
     log = Log(base or LogBase(), entries)
-    state = HostState(host, settings, draw, hard or HardState(), log, snapshot)
-    state.commit = snapshot.index if snapshot else log.base.index
+    state = HostState(
+        host, settings, random_fraction, hard_state or HardState(), log, snapshot
+    )
+    state.commit_index = snapshot.index if snapshot else log.base.index
     state.synced_index = log.last_index
     reset_election_deadline(state, now)
     return state
 
 
 def reset_election_deadline(state: HostState, now: float) -> None:
-    """Wait between one and two election timeouts, so that hosts rarely collide.
+    """Set a random election timeout between one and two times the configured one.
 
-    All hosts may have lost power together, and nothing works before one leads: the
-    first timeouts are short. Two hosts that collide then must not wait for the ordinary
-    time, which kept a fleet out of service for 0.9 s more; the span that doubles makes
-    room for disks that are slow. The pre-vote keeps a host that restarted alone from
-    deposing a leader.
+    After a power loss of all hosts nothing works until there is a leader, so the first
+    timeouts after a start are short. If two hosts then split the vote, waiting for the
+    ordinary timeout would prolong the outage by 0.9 s; doubling the short timeout
+    instead still gives slow disks enough time. The pre-vote keeps a host that restarted
+    alone from deposing a leader.
     """
     settings = state.settings
-    span = settings.election_seconds
-    if settings.first_election_seconds and not state.has_met_leader:
-        span = min(span, settings.first_election_seconds * 2**state.attempts)
-    state.election_deadline = now + span * (1 + state.draw())
+    timeout = settings.election_seconds
+    if settings.first_election_seconds and not state.has_seen_leader:
+        timeout = min(
+            timeout, settings.first_election_seconds * 2**state.election_attempts
+        )
+    state.election_deadline = now + timeout * (1 + state.random_fraction())
 
 
-def set_hard(state: HostState, hard: HardState) -> None:
-    """Change the hard state and ask for it to be written."""
-    state.hard = hard
-    state.out.hard = hard
+def set_hard_state(state: HostState, hard_state: HardState) -> None:
+    """Change the hard state and output it to be written."""
+    state.hard_state = hard_state
+    state.outputs.hard_state = hard_state
 
 
 def send(state: HostState, receiver: str, message: Message) -> None:
-    """Send a message that claims nothing about this host's disk."""
-    envelope = Envelope(state.hard.cluster, state.host, receiver, message)
-    state.out.messages.append(envelope)
+    """Send a message that does not rely on data synced to this host's disk."""
+    envelope = Envelope(state.hard_state.cluster, state.host, receiver, message)
+    state.outputs.messages.append(envelope)
 
 
-def promise(state: HostState, receiver: str, message: Message) -> None:
-    """Send a message once everything asked for so far is on disk.
+def send_after_sync(state: HostState, receiver: str, message: Message) -> None:
+    """Send a message once all writes output so far are on disk.
 
-    A vote or a reply that left before its sync and is forgotten in a crash lets two
-    leaders win one term, or an accepted entry vanish.
+    If a vote or reply were sent before its sync and then lost in a crash, two leaders
+    could win the same term, or a committed entry could be lost.
     """
-    envelope = Envelope(state.hard.cluster, state.host, receiver, message)
-    state.out.promises.append(envelope)
+    envelope = Envelope(state.hard_state.cluster, state.host, receiver, message)
+    state.outputs.messages_after_sync.append(envelope)
 
 
 def append_entry(state: HostState, entry: Entry) -> None:
-    """Add an entry to the log and ask for it to be written."""
+    """Append an entry to the log and output it to be written."""
     state.log.append(entry)
-    state.out.entries.append(entry)
+    state.outputs.entries.append(entry)
--- a/ibisshunt/coordination/directory/__init__.py
+++ b/ibisshunt/coordination/directory/__init__.py
@@ -1,5 +1,5 @@
-"""Let nodes find each other through the control hosts, and configurations spread.
+"""Let nodes discover each other through control hosts, and distribute configurations.
 
-Nothing here is replicated: each node introduces itself to every control host again and
-again, and an entry that is not renewed ends.
+Nothing here is replicated: each node registers with every control host periodically,
+and an entry that is not renewed expires.
 """
--- a/ibisshunt/coordination/directory/download.py
+++ b/ibisshunt/coordination/directory/download.py
@@ -1,122 +1,131 @@
-"""Fetch the newest configuration, piece by piece, from whoever holds it."""
+"""Download the newest configuration in chunks from any node that has it."""
 
 from zlib import crc32
 
 import msgspec
 
-from .messages import Fetch, Piece
+from .messages import Chunk, FetchChunks
 
-# What fits a packet of the usual size with its head.
-PIECE_BYTES = 1_200
-# Pieces sent for one request, as many as a thin link takes at once.
-WINDOW = 8
-# How long a provider may be silent before another is asked.
-SILENT_SECONDS = 0.25
+# Fits in a packet of the usual size together with its header.
+CHUNK_BYTES = 1_200
+# Chunks sent for one request: as many as a low-bandwidth link takes at once.
+WINDOW_CHUNKS = 8
+# How long a source may be silent before another one is used.
+SOURCE_TIMEOUT_SECONDS = 0.25
 
 
 class _Transfer(msgspec.Struct):
     version: int
-    provider: str
+    source: str
     deadline: float
-    count: int = 0
+    chunk_count: int = 0
     checksum: int = 0
-    pieces: dict[int, bytes] = msgspec.field(default_factory=dict)
+    chunks: dict[int, bytes] = msgspec.field(default_factory=dict)
 
 
 class Download:
-    """Own the transfer of one node; it holds version ``held`` already."""
+    """Manage the downloads of one node, on which ``active_version`` is active."""
 
     def __init__(self) -> None:
-        self.held = 0
-        self._offers: dict[str, int] = {}
+        self.active_version = 0
+        self._offered_versions: dict[str, int] = {}
         self._transfer: _Transfer | None = None
 
-    def offer(self, address: str, version: int, now: float) -> tuple[str, Fetch] | None:
-        """Take the word that a node holds a version; return what to ask whom."""
-        if version <= self.held:
+    def handle_offer(
+        self, address: str, version: int, now: float
+    ) -> tuple[str, FetchChunks] | None:
+        """Handle the offer of a version; return the request to send, if any."""
+        if version <= self.active_version:
             return None
-        self._offers[address] = version
+        self._offered_versions[address] = version
         transfer = self._transfer
         if transfer is not None and transfer.version >= version:
             return None
         return self._start(address, version, now)
 
-    def take(
-        self, address: str, piece: Piece, now: float
-    ) -> tuple[bytes | None, tuple[str, Fetch] | None]:
-        """Take a piece; return the whole when it is there, and what to ask next."""
+    def handle_chunk(
+        self, address: str, chunk: Chunk, now: float
+    ) -> tuple[bytes | None, tuple[str, FetchChunks] | None]:
+        """Add a chunk; return the whole content once complete, and the next request."""
         transfer = self._transfer
-        if transfer is None or piece.version != transfer.version:
+        if transfer is None or chunk.version != transfer.version:
             return None, None
-        transfer.provider = address
-        transfer.count, transfer.checksum = piece.count, piece.checksum
-        transfer.deadline = now + SILENT_SECONDS
-        transfer.pieces[piece.index] = piece.data
-        if len(transfer.pieces) == transfer.count:
+        transfer.source = address
+        transfer.chunk_count, transfer.checksum = chunk.count, chunk.checksum
+        transfer.deadline = now + SOURCE_TIMEOUT_SECONDS
+        transfer.chunks[chunk.index] = chunk.data
+        if len(transfer.chunks) == transfer.chunk_count:
             return self._finish(transfer), None
-        last_of_window = piece.index % WINDOW == WINDOW - 1
-        if last_of_window or piece.index == transfer.count - 1:
-            return None, (address, Fetch(transfer.version, _first_missing(transfer)))
+        is_last_of_window = chunk.index % WINDOW_CHUNKS == WINDOW_CHUNKS - 1
+        if is_last_of_window or chunk.index == transfer.chunk_count - 1:
+            return None, (
+                address,
+                FetchChunks(transfer.version, _find_first_missing(transfer)),
+            )
         return None, None
 
-    def sweep(self, now: float) -> tuple[str, Fetch] | None:
-        """Ask again, somebody else, when the provider is silent."""
+    def retry(self, now: float) -> tuple[str, FetchChunks] | None:
+        """Request missing chunks from another source if the current one is silent."""
         transfer = self._transfer
         if transfer is None or now < transfer.deadline:
             return None
-        able = [
+        sources = [
             address
-            for address, version in self._offers.items()
+            for address, version in self._offered_versions.items()
             if version >= transfer.version
         ]
-        if not able:
+        if not sources:
             self._transfer = None
             return None
-        index = able.index(transfer.provider) if transfer.provider in able else -1
-        transfer.provider = able[(index + 1) % len(able)]
-        transfer.deadline = now + SILENT_SECONDS
-        return transfer.provider, Fetch(transfer.version, _first_missing(transfer))
-
-    def hold(self, version: int) -> None:
-        """Note that a version is in force here."""
-        self.held = max(self.held, version)
-        self._offers = {
+        index = sources.index(transfer.source) if transfer.source in sources else -1
+        transfer.source = sources[(index + 1) % len(sources)]
+        transfer.deadline = now + SOURCE_TIMEOUT_SECONDS
+        return transfer.source, FetchChunks(
+            transfer.version, _find_first_missing(transfer)
+        )
+
+    def mark_active(self, version: int) -> None:
+        """Record that a version is active here."""
+        self.active_version = max(self.active_version, version)
+        self._offered_versions = {
             address: offered
-            for address, offered in self._offers.items()
-            if offered > self.held
+            for address, offered in self._offered_versions.items()
+            if offered > self.active_version
         }
 
-    def _start(self, address: str, version: int, now: float) -> tuple[str, Fetch]:
-        self._transfer = _Transfer(version, address, now + SILENT_SECONDS)
-        return address, Fetch(version, 0)
+    def _start(self, address: str, version: int, now: float) -> tuple[str, FetchChunks]:
+        self._transfer = _Transfer(version, address, now + SOURCE_TIMEOUT_SECONDS)
+        return address, FetchChunks(version, 0)
 
     def _finish(self, transfer: _Transfer) -> bytes | None:
-        whole = b"".join(transfer.pieces[index] for index in range(transfer.count))
+        content = b"".join(
+            transfer.chunks[index] for index in range(transfer.chunk_count)
+        )
         self._transfer = None
-        if crc32(whole) != transfer.checksum:
+        if crc32(content) != transfer.checksum:
             return None
-        return whole
+        return content
 
 
-def make_pieces(version: int, whole: bytes, first: int) -> list[Piece]:
-    """Return the window of pieces from ``first`` on."""
-    count = max(1, -(-len(whole) // PIECE_BYTES))
-    checksum = crc32(whole)
-    end = min(count, (first // WINDOW + 1) * WINDOW)
+def make_chunks(version: int, content: bytes, first_chunk: int) -> list[Chunk]:
+    """Return the window of chunks from ``first_chunk`` on."""
+    count = max(1, -(-len(content) // CHUNK_BYTES))
+    checksum = crc32(content)
+    end = min(count, (first_chunk // WINDOW_CHUNKS + 1) * WINDOW_CHUNKS)
     return [
-        Piece(
+        Chunk(
             version,
             index,
             count,
             checksum,
-            whole[index * PIECE_BYTES : (index + 1) * PIECE_BYTES],
+            content[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES],
         )
-        for index in range(first, end)
+        for index in range(first_chunk, end)
     ]
 
 
-def _first_missing(transfer: _Transfer) -> int:
+def _find_first_missing(transfer: _Transfer) -> int:
     index = 0
-    while index in transfer.pieces:
+    while index in transfer.chunks:
         index += 1
     return index
--- a/ibisshunt/coordination/directory/messages.py
+++ b/ibisshunt/coordination/directory/messages.py
@@ -1,4 +1,4 @@
-"""Name what nodes and control hosts tell each other."""
+"""Messages between nodes and control hosts."""
 
 from enum import IntEnum
 from typing import Annotated
@@ -7,90 +7,89 @@
 
 from ...model.domains import DrainedDomains
 
-# The revision of drained domains that a node tells which has heard of none.
-UNHEARD_REVISION = -1
-# Numbers that count something: a message with another one is refused when it is read.
+# Revision of drained domains that a node reports if it has received none.
+NO_REVISION = -1
+# Counts; a message with a negative one is rejected when it is decoded.
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class NodeRole(IntEnum):
-    """Name what a node does."""
+    """Role of a node."""
 
     BALANCER = 0
     AGENT = 1
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Introduce a node to a control host.
+    """Register a node with a control host.
 
-    ``version`` is the configuration it holds, ``digest`` the list of nodes it knows,
-    ``domain`` its failure domain. ``is_empty`` tells that it holds no flows and will
-    hold none: its target has gone. ``drained_revision`` is that of the drained domains
-    it holds.
+    ``version`` is the configuration it holds, ``digest`` that of its node list.
+    ``is_empty`` means that it has no flows and will get none: its target is gone.
+    ``drained_revision`` is the revision of the drained domains it holds.
     """
 
     role: NodeRole
     version: Count
     digest: int
-    domain: str = ""
+    failure_domain: str = ""
     is_empty: bool = False
-    drained_revision: int = UNHEARD_REVISION
+    drained_revision: int = NO_REVISION
 
 
-class Welcome(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class HelloReply(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """Answer Hello.
 
-    ``nodes`` are the addresses that the node works with, or None when the digest says
-    that it knows them; ``peers`` are nodes of its role and failure domain, and come
-    with ``nodes``; so do ``near``, those of ``nodes`` in its failure domain.
-    ``control`` are the control hosts. ``settled`` tells that the sender has run for
-    long enough to have heard all nodes. ``drained`` are the drained domains, None while
-    the sender cannot be sure of them.
+    ``nodes`` are the addresses that the node works with, or None if its digest is up to
+    date; ``peers`` are nodes of its role and failure domain, and come with ``nodes``,
+    and so do ``same_domain_nodes``, those of ``nodes`` in its failure domain.
+    ``is_settled`` means that the sender has run long enough for every node to have
+    registered. ``drained_domains`` is None while the sender does not know them for
+    certain.
     """
 
     version: Count
     digest: int
-    control: tuple[str, ...]
+    control_hosts: tuple[str, ...]
     nodes: tuple[str, ...] | None
     peers: tuple[str, ...] = ()
-    settled: bool = False
-    near: tuple[str, ...] = ()
-    drained: DrainedDomains | None = None
+    is_settled: bool = False
+    same_domain_nodes: tuple[str, ...] = ()
+    drained_domains: DrainedDomains | None = None
 
 
 class Leave(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """Tell a control host that the node goes for good, with its target."""
+    """Unregister a node that stops for good, together with its target."""
 
 
-class Introduce(msgspec.Struct, frozen=True, array_like=True, tag="i"):
-    """Tell an agent of a balancer that wants its status.
+class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag="i"):
+    """Ask an agent to send its status to this balancer.
 
-    ``drained`` are the drained domains that the balancer holds: an agent that starts
-    while control is away learns of them from it.
+    ``drained_domains`` are those that the balancer holds: an agent that starts while no
+    control host is reachable gets them from it.
     """
 
-    drained: DrainedDomains | None = None
+    drained_domains: DrainedDomains | None = None
 
 
-class Notice(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """Tell that the sender holds that version of the configuration.
+class UpdateNotice(msgspec.Struct, frozen=True, array_like=True, tag="n"):
+    """Announce the version of the configuration that the sender holds.
 
-    ``drained`` are the drained domains, None while it cannot be sure of them.
+    ``drained_domains`` is None while the sender does not know them for certain.
     """
 
     version: Count
-    drained: DrainedDomains | None = None
+    drained_domains: DrainedDomains | None = None
 
 
-class Fetch(msgspec.Struct, frozen=True, array_like=True, tag="f"):
-    """Ask for pieces of a configuration, from ``first`` on."""
+class FetchChunks(msgspec.Struct, frozen=True, array_like=True, tag="f"):
+    """Request chunks of a configuration, from ``first_chunk`` on."""
 
     version: Count
-    first: Count
+    first_chunk: Count
 
 
-class Piece(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """Bring piece ``index`` of ``count``; ``checksum`` covers the whole."""
+class Chunk(msgspec.Struct, frozen=True, array_like=True, tag="p"):
+    """Carry chunk ``index`` of ``count``; ``checksum`` covers all of them."""
 
     version: Count
     index: Count
--- a/ibisshunt/coordination/directory/registry.py
+++ b/ibisshunt/coordination/directory/registry.py
@@ -1,4 +1,4 @@
-"""Remember, on a control host, the nodes that introduced themselves."""
+"""Track, on a control host, the nodes that register with it."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -7,114 +7,131 @@
 import msgspec
 
 from ...model.domains import DrainedDomains
-from .messages import UNHEARD_REVISION, Hello, NodeRole, Welcome
-
-# A node that was silent this long is left out: longer than a restart, so that a list
-# does not change at each.
-NODE_SECONDS = 8.0
-# How long a node of the former run may take to introduce itself again.
-CONFIRM_SECONDS = 1.0
-# How long a control host must have run before its lists are whole: two introductions of
-# each node, so that one of them may be lost.
+from .messages import NO_REVISION, Hello, HelloReply, NodeRole
+
+# Silence after which a node is removed: longer than a restart, so that lists do not
+# change at each restart.
+NODE_TIMEOUT_SECONDS = 8.0
+# How long a node of the previous run may take to register again.
+CONFIRMATION_SECONDS = 1.0
+# How long a control host must have run before its lists are complete: two registrations
+# of each node, so that one of them may be lost.
 SETTLE_SECONDS = 1.7
 
 
-class KnownNode(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what outlives a restart of the control host; ``role`` is a NodeRole."""
+class SavedNode(msgspec.Struct, frozen=True, array_like=True):
+    """A node as saved across restarts of the control host; ``role`` is a NodeRole."""
 
     address: str
     role: int
-    domain: str
+    failure_domain: str
 
 
 @dataclass(slots=True)
-class Node:
-    """Hold one node; ``heard_at`` is in seconds."""
+class RegisteredNode:
+    """A registered node; ``last_hello_at`` is in seconds."""
 
     role: NodeRole
     version: int
-    heard_at: float
-    domain: str = ""
+    last_hello_at: float
+    failure_domain: str = ""
     is_empty: bool = False
-    drained_revision: int = UNHEARD_REVISION
+    drained_revision: int = NO_REVISION
 
 
 @dataclass(frozen=True, slots=True)
-class _Lists:
-    """Hold the lists for nodes of one role and failure domain."""
+class _NodeLists:
+    """Lists for nodes of one role and failure domain."""
 
     nodes: tuple[str, ...]
     peers: tuple[str, ...]
-    near: tuple[str, ...]
+    same_domain: tuple[str, ...]
     digest: int
 
 
 class Registry:
-    """Own the nodes that one control host has heard of; it starts at ``now``.
+    """Manage the nodes registered with one control host, which starts at ``now``.
 
-    ``known`` are the nodes of its former run. When a whole fleet restarts, callers
-    send packets of flows that ended with it; a balancer may only tell them so once it
-    has heard all agents, and would otherwise wait until the list is surely whole.
+    ``saved`` are the nodes of its previous run. When a whole fleet restarts, callers
+    send packets of flows that ended with it. A balancer may reset these only once it
+    has received a status from every agent; without the saved nodes it would wait until
+    the list is certainly complete.
     """
 
     def __init__(
-        self, now: float = float("-inf"), known: Iterable[KnownNode] = ()
+        self, now: float = float("-inf"), saved: Iterable[SavedNode] = ()
     ) -> None:
-        heard_at = now + CONFIRM_SECONDS - NODE_SECONDS
-        self.nodes: dict[str, Node] = {
-            node.address: Node(NodeRole(node.role), 0, heard_at, node.domain)
-            for node in known
+        last_hello_at = now + CONFIRMATION_SECONDS - NODE_TIMEOUT_SECONDS
+        self.nodes: dict[str, RegisteredNode] = {
+            node.address: RegisteredNode(
+                NodeRole(node.role), 0, last_hello_at, node.failure_domain
+            )
+            for node in saved
         }
         self._settled_at = now if self.nodes else now + SETTLE_SECONDS
-        self._lists: dict[tuple[NodeRole, str], _Lists] = {}
+        self._lists: dict[tuple[NodeRole, str], _NodeLists] = {}
 
-    def take(
+    def handle_hello(
         self,
         address: str,
         hello: Hello,
         version: int,
-        control: tuple[str, ...],
+        control_hosts: tuple[str, ...],
         now: float,
         drained: DrainedDomains | None = None,
-    ) -> Welcome:
-        """Take an introduction; return the answer.
+    ) -> HelloReply:
+        """Register a node; return the reply.
 
-        The drained domains go along when the node does not hold them.
+        The drained domains are included if the node does not hold them.
         """
         role = NodeRole(hello.role)
         known = self.nodes.get(address)
-        self.nodes[address] = Node(
+        self.nodes[address] = RegisteredNode(
             role,
             hello.version,
             now,
-            hello.domain,
+            hello.failure_domain,
             hello.is_empty,
             hello.drained_revision,
         )
-        told = drained if _is_behind(hello.drained_revision, drained) else None
-        if known is None or (known.role, known.domain) != (role, hello.domain):
+        newer_drained = (
+            drained if _is_outdated(hello.drained_revision, drained) else None
+        )
+        if known is None or (known.role, known.failure_domain) != (
+            role,
+            hello.failure_domain,
+        ):
             self._lists.clear()
-        lists = self._find_lists(role, hello.domain)
-        settled = now >= self._settled_at
+        lists = self._get_lists(role, hello.failure_domain)
+        is_settled = now >= self._settled_at
         if hello.digest == lists.digest:
-            return Welcome(version, lists.digest, control, None, (), settled, (), told)
+            return HelloReply(
+                version,
+                lists.digest,
+                control_hosts,
+                None,
+                (),
+                is_settled,
+                (),
+                newer_drained,
+            )
         peers = tuple(peer for peer in lists.peers if peer != address)
-        return Welcome(
+        return HelloReply(
             version,
             lists.digest,
-            control,
+            control_hosts,
             lists.nodes,
             peers,
-            settled,
-            lists.near,
-            told,
+            is_settled,
+            lists.same_domain,
+            newer_drained,
         )
 
     def remove(self, address: str) -> bool:
-        """Leave out a node that has said so; return whether it was there.
+        """Remove a node that leaves; return whether it was registered.
 
-        Only silence would tell otherwise, and until then each balancer that starts
-        waits for the node, and resets no flow that ended with its target.
+        Until its silence is noticed, each balancer that starts would wait for the node,
+        and reset no flow that ended with its target.
         """
         if self.nodes.pop(address, None) is None:
             return False
@@ -122,11 +139,11 @@
         return True
 
     def sweep(self, now: float) -> list[str]:
-        """Leave silent nodes out; return their addresses."""
+        """Remove silent nodes; return their addresses."""
         silent = [
             address
             for address, node in self.nodes.items()
-            if now - node.heard_at >= NODE_SECONDS
+            if now - node.last_hello_at >= NODE_TIMEOUT_SECONDS
         ]
         for address in silent:
             del self.nodes[address]
@@ -134,50 +151,61 @@
             self._lists.clear()
         return silent
 
-    def list_known(self) -> tuple[KnownNode, ...]:
+    def list_nodes_to_save(self) -> tuple[SavedNode, ...]:
         """Return all nodes that may hold flows, in the order of their addresses."""
         return tuple(
-            KnownNode(address, int(node.role), node.domain)
+            SavedNode(address, int(node.role), node.failure_domain)
             for address, node in sorted(self.nodes.items())
             if not node.is_empty
         )
 
-    def list_behind(
+    def list_outdated(
         self, version: int, drained: DrainedDomains | None = None
     ) -> list[str]:
-        """Return the nodes that hold an older configuration or drained domains."""
+        """Return the nodes with an older configuration or older drained domains."""
         return [
             address
             for address, node in self.nodes.items()
-            if node.version < version or _is_behind(node.drained_revision, drained)
+            if node.version < version or _is_outdated(node.drained_revision, drained)
         ]
 
-    def _find_lists(self, role: NodeRole, domain: str) -> _Lists:
-        """Return what nodes of a role and failure domain are told."""
-        found = self._lists.get((role, domain))
-        if found is None:
-            wanted = NodeRole.AGENT if role == NodeRole.BALANCER else NodeRole.BALANCER
-            nodes = self._list(lambda node: node.role == wanted)
-            peers = self._list(lambda node: (node.role, node.domain) == (role, domain))
-            near = self._list(lambda node: (node.role, node.domain) == (wanted, domain))
+    def _get_lists(self, role: NodeRole, failure_domain: str) -> _NodeLists:
+        """Return the lists for nodes of a role and failure domain."""
+        lists = self._lists.get((role, failure_domain))
+        if lists is None:
+            listed_role = (
+                NodeRole.AGENT if role == NodeRole.BALANCER else NodeRole.BALANCER
+            )
+            nodes = self._list_nodes(lambda node: node.role == listed_role)
+            peers = self._list_nodes(
+                lambda node: (node.role, node.failure_domain) == (role, failure_domain)
+            )
+            same_domain = self._list_nodes(
+                lambda node: (
+                    (node.role, node.failure_domain) == (listed_role, failure_domain)
+                )
+            )
             if role == NodeRole.AGENT:
-                # An agent serves all balancers alike and asks none for flows.
-                peers = near = ()
-            digest = make_digest((*nodes, "-", *peers, "-", *near))
-            found = _Lists(nodes, peers, near, digest)
-            self._lists[role, domain] = found
-        return found
-
-    def _list(self, is_wanted: Callable[[Node], bool]) -> tuple[str, ...]:
+                # An agent serves all balancers alike and sends no flow queries to
+                # peers.
+                peers = same_domain = ()
+            digest = compute_digest((*nodes, "-", *peers, "-", *same_domain))
+            lists = _NodeLists(nodes, peers, same_domain, digest)
+            self._lists[role, failure_domain] = lists
+        return lists
+
+    def _list_nodes(
+        self, is_listed: Callable[[RegisteredNode], bool]
+    ) -> tuple[str, ...]:
         return tuple(
-            sorted(address for address, node in self.nodes.items() if is_wanted(node))
+            sorted(address for address, node in self.nodes.items() if is_listed(node))
         )
 
 
-def _is_behind(revision: int, drained: DrainedDomains | None) -> bool:
+def _is_outdated(revision: int, drained: DrainedDomains | None) -> bool:
     return drained is not None and revision < drained.revision
 
 
-def make_digest(addresses: Iterable[str]) -> int:
+def compute_digest(addresses: Iterable[str]) -> int:
     """Return a number that changes with a list of addresses; never 0."""
     return crc32(",".join(addresses).encode()) or 1
--- a/ibisshunt/coordination/distribution/__init__.py
+++ b/ibisshunt/coordination/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Decide what configuration a node is sent and puts in force."""
+"""Distribute the configuration to nodes as snapshots and deltas."""
--- a/ibisshunt/coordination/distribution/digest.py
+++ b/ibisshunt/coordination/distribution/digest.py
@@ -1,4 +1,4 @@
-"""Take a digest over a configuration, slice by slice."""
+"""Digests of configurations and of their slices."""
 
 from collections.abc import Iterable
 
@@ -8,17 +8,18 @@
 from ...protocol.codec import encode
 
 
-def digest_slice(found: ServiceSlice) -> int:
-    """Return 64 bits that stand for the slice with its number and revision."""
-    return xxhash.xxh3_64_intdigest(encode(found))
+def digest_slice(service_slice: ServiceSlice) -> int:
+    """Return a 64-bit digest of a slice, including its number and revision."""
+    return xxhash.xxh3_64_intdigest(encode(service_slice))
 
 
 def combine_digests(digests: Iterable[int]) -> int:
-    """Return one digest for a set of slices, in any order.
+    """Return the digest of a set of slices, in any order.
 
-    Exclusive or lets a node renew the digest from the changed slices alone.
+    It is the exclusive or of the slice digests, so that a node can update it from the
+    changed slices alone.
     """
-    whole = 0
+    combined = 0
     for digest in digests:
-        whole ^= digest
-    return whole
+        combined ^= digest
+    return combined
--- a/ibisshunt/coordination/distribution/progress.py
+++ b/ibisshunt/coordination/distribution/progress.py
@@ -1,4 +1,4 @@
-"""Decide whether a revision is in force everywhere, and who lags."""
+"""Evaluate on which nodes a configuration revision is active."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,11 +6,11 @@
 
 from ...const import HEARTBEAT_SECONDS
 
-SILENT_SECONDS: Final = 3 * HEARTBEAT_SECONDS
+REPORT_TIMEOUT_SECONDS: Final = 3 * HEARTBEAT_SECONDS
 
 
 class NodeReport(Protocol):
-    """Describe the last report of one node; its age is in seconds."""
+    """The last report of one node."""
 
     node: str
     revision: int
@@ -18,31 +18,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Progress:
-    """Name the nodes that report an older revision, and those that fell silent.
+class RolloutProgress:
+    """Nodes that have a revision, report an older one, or have stopped reporting.
 
-    A silent node may be gone or cut off. One that is cut off still serves with what
-    it has, so nobody may say that the revision is in force everywhere.
+    A silent node may have ended or be partitioned. A partitioned node still serves with
+    its old configuration, so the revision must not be called active everywhere.
     """
 
-    level: tuple[str, ...]
+    up_to_date: tuple[str, ...]
     lagging: tuple[str, ...]
     silent: tuple[str, ...]
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether every known node has the revision in force."""
+        """Return whether the revision is active on every known node."""
         return not self.lagging and not self.silent
 
 
-def judge_progress(reports: Iterable[NodeReport], revision: int) -> Progress:
-    """Sort the nodes by what they last reported."""
-    level, lagging, silent = [], [], []
+def evaluate_rollout(reports: Iterable[NodeReport], revision: int) -> RolloutProgress:
+    """Group the nodes by their last report."""
+    up_to_date, lagging, silent = [], [], []
     for report in reports:
         if report.revision >= revision:
-            level.append(report.node)
-        elif report.age_seconds > SILENT_SECONDS:
+            up_to_date.append(report.node)
+        elif report.age_seconds > REPORT_TIMEOUT_SECONDS:
             silent.append(report.node)
         else:
             lagging.append(report.node)
-    return Progress(tuple(level), tuple(lagging), tuple(silent))
+    return RolloutProgress(tuple(up_to_date), tuple(lagging), tuple(silent))
--- a/ibisshunt/coordination/distribution/receiver.py
+++ b/ibisshunt/coordination/distribution/receiver.py
@@ -1,4 +1,4 @@
-"""Decide what an update makes of the configuration that a node has in force."""
+"""Apply configuration updates on a node."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,11 +9,13 @@
 from .digest import combine_digests, digest_slice
 
 
-class Verdict(StrEnum):
-    """Name what became of an update.
+class UpdateVerdict(StrEnum):
+    """Outcome of an update.
 
-    ``STALE`` updates come from a host that lags: the node keeps what it has and asks
-    another host. After ``GAP`` and ``MISMATCH`` it watches again from ``since``.
+    ``IN_FORCE``: the update was applied. ``CURRENT``: it contained no change.
+    ``STALE``: the sender lags behind, so the node keeps its configuration and asks
+    another host. ``GAP``: an earlier update is missing. ``MISMATCH``: the digests
+    differ. After the last two, the node watches again from ``UpdateResult.since``.
     """
 
     IN_FORCE = "in_force"
@@ -24,52 +26,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
-    """Hold the configuration in force and the digest of each slice by number."""
+class ActiveConfiguration:
+    """The active configuration and the digest of each slice by its number."""
 
     configuration: Configuration = field(default_factory=Configuration)
     digests: Mapping[int, int] = field(default_factory=lambda: MappingProxyType({}))
 
 
 @dataclass(frozen=True, slots=True)
-class Reception:
-    """Hold what is in force after an update, and from where to watch again."""
+class UpdateResult:
+    """The active configuration after an update, and the revision to watch from."""
 
-    received: Received
-    verdict: Verdict
+    active: ActiveConfiguration
+    verdict: UpdateVerdict
     since: int
 
 
-def receive(received: Received, update: ConfigurationUpdate) -> Reception:
-    """Decide on one update; what is in force never goes back to a lower revision."""
-    held = received.configuration.revision
-    if update.revision < held:
-        return Reception(received, Verdict.STALE, held)
-    if update.base > held:
-        # The delta between was lost. Taking this one would leave out what it changed,
-        # and the node would show the newest revision over an older table.
-        return Reception(received, Verdict.GAP, held)
-    after = _merge(received, update)
-    if combine_digests(after.digests.values()) != update.digest:
-        # Some earlier loss went unseen: only a whole snapshot mends that.
-        return Reception(received, Verdict.MISMATCH, 0)
-    unchanged = update.revision == held and after.digests == received.digests
-    if unchanged:
-        return Reception(received, Verdict.CURRENT, held)
-    return Reception(after, Verdict.IN_FORCE, update.revision)
-
-
-def _merge(received: Received, update: ConfigurationUpdate) -> Received:
+def receive(active: ActiveConfiguration, update: ConfigurationUpdate) -> UpdateResult:
+    """Apply an update, or reject it; the active revision never decreases."""
+    revision = active.configuration.revision
+    if update.revision < revision:
+        return UpdateResult(active, UpdateVerdict.STALE, revision)
+    if update.base > revision:
+        # The delta before this one was lost. Applying this one would omit its changes:
+        # the node would report the newest revision with an outdated configuration.
+        return UpdateResult(active, UpdateVerdict.GAP, revision)
+    merged = _merge_update(active, update)
+    if combine_digests(merged.digests.values()) != update.digest:
+        # An earlier loss was not detected; only a full snapshot repairs it.
+        return UpdateResult(active, UpdateVerdict.MISMATCH, 0)
+    is_unchanged = update.revision == revision and merged.digests == active.digests
+    if is_unchanged:
+        return UpdateResult(active, UpdateVerdict.CURRENT, revision)
+    return UpdateResult(merged, UpdateVerdict.IN_FORCE, update.revision)
+
+
+def _merge_update(
+    active: ActiveConfiguration, update: ConfigurationUpdate
+) -> ActiveConfiguration:
     slices: dict[int, ServiceSlice] = {}
     digests: dict[int, int] = {}
     if update.base:
-        slices.update(received.configuration.slices)
-        digests.update(received.digests)
+        slices.update(active.configuration.slices)
+        digests.update(active.digests)
     for number in update.removed:
         slices.pop(number, None)
         digests.pop(number, None)
-    for found in update.changed:
-        slices[found.number] = found
-        digests[found.number] = digest_slice(found)
+    for slice_ in update.changed:
+        slices[slice_.number] = slice_
+        digests[slice_.number] = digest_slice(slice_)
     configuration = Configuration(update.revision, MappingProxyType(slices))
-    return Received(configuration, MappingProxyType(digests))
+    return ActiveConfiguration(configuration, MappingProxyType(digests))
--- a/ibisshunt/coordination/flows/__init__.py
+++ b/ibisshunt/coordination/flows/__init__.py
@@ -1,9 +1,9 @@
-"""Decide which target owns a flow.
+"""Assign flows to targets and forward each packet to the owner of its flow.
 
-A proxy that embeds these parts brings sockets and clocks, and asks:
+A proxy that embeds these parts provides the sockets and clocks, and uses:
 
-* ``ServiceTable``: whom to ask first for a flow of a service, and then.
-* ``Router``: to which agent a balancer sends a packet; it keeps no state of a flow.
+* ``ServiceTable``: the targets to try for a flow of a service, in order.
+* ``Router``: the agent to which a balancer sends a packet; it keeps no flow state.
 * ``FlowOwner``: what an agent does with a packet: deliver, forward, reset or drop.
 
 A balancer and two agents that share the flows of one service::
@@ -27,13 +27,14 @@
     >>> router.update(configuration.Configuration(1, {7: slice_}), now=1000.0)
     1
     >>> agents = {}
-    >>> for one in targets:
+    >>> for target_ in targets:
     ...     agent = flows.FlowOwner(max_flows=1000, now=0.0)
-    ...     agent.update(flows.ServiceTable(slice_, 1000.0), one.incarnation, now=0.0)
-    ...     agents[one.announcement.packets.as_pair()] = agent
+    ...     table = flows.ServiceTable(slice_, 1000.0)
+    ...     agent.update(table, target_.incarnation, now=0.0)
+    ...     agents[target_.announcement.packets.as_pair()] = agent
 
-The caller's SYN comes in. The balancer says which agent to send it to and which header
-to put before it; that agent, or one that it forwards to, delivers it::
+The caller's SYN arrives. The router returns the agent to send it to and the header to
+prepend; that agent, or one that it forwards the packet to, delivers it::
 
     >>> from ibisshunt.protocol.datagram import read_datagram
     >>> from ibisshunt.protocol.packet import scan_packet
@@ -41,18 +42,18 @@
     ...     "450000280000000040060000c6336401c0000201"
     ...     "9c4001bb00000064000000005002ffff00000000"
     ... )
-    >>> pair, head = router.route(syn, now=1000.0)
-    >>> header, packet = read_datagram(head + syn).unwrap()
+    >>> address, header_bytes = router.route(syn, now=1000.0)
+    >>> header, packet = read_datagram(header_bytes + syn).unwrap()
     >>> key, bits = scan_packet(packet)
-    >>> action = agents[pair].handle(header, key, bits, now=400.0)
+    >>> action = agents[address].handle(header, key, bits, now=400.0)
     >>> while action.kind == flows.ActionKind.FORWARD:
-    ...     pair = action.pair
-    ...     action = agents[pair].handle(action.header, key, bits, now=400.0)
-    >>> action.kind.name, agents[pair].count()
+    ...     address = action.socket_address
+    ...     action = agents[address].handle(action.header, key, bits, now=400.0)
+    >>> action.kind.name, agents[address].count()
     ('DELIVER', 1)
 
 After each call ``FlowOwner.take_notices`` returns datagrams for other agents. They
-save hops; a lost one breaks nothing.
+save hops; no flow breaks when one is lost.
 """
 
 from .actions import Action, ActionKind, Notice
--- a/ibisshunt/coordination/flows/actions.py
+++ b/ibisshunt/coordination/flows/actions.py
@@ -1,4 +1,4 @@
-"""Name what an agent may do with a packet."""
+"""Actions of an agent on a packet."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,7 +7,7 @@
 
 
 class ActionKind(IntEnum):
-    """Number what becomes of a packet."""
+    """Kind of action on a packet."""
 
     DELIVER = 1
     FORWARD = 2
@@ -17,22 +17,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """Say what to do with a packet.
+    """What to do with a packet.
 
-    ``header`` and ``pair`` are set for FORWARD, ``reason`` for RESET and DROP.
+    ``header`` and ``socket_address`` are set for FORWARD, ``reason`` for RESET and
+    DROP.
     """
 
     kind: ActionKind
     reason: str = ""
     header: Header | None = None
-    pair: tuple[str, int] = ("", 0)
+    socket_address: tuple[str, int] = ("", 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """Hold a datagram for another agent."""
+    """A datagram to send to another agent."""
 
-    pair: tuple[str, int]
+    socket_address: tuple[str, int]
     data: bytes
 
 
