--- a/ibisshunt/coordination/flows/recall.py
+++ b/ibisshunt/coordination/flows/recall.py
@@ -1,110 +1,118 @@
-"""Work out, after a start, which flows an agent's target still holds."""
+"""Recover the flows of a target from the peers of its agent after a restart."""
 
 from collections import Counter
 from enum import IntEnum
 from typing import Final
 
 from ...model.target import Target
-from .ranking import identify_place
+from .ranking import hash_instance
 
-# After its start an agent waits at most this long for its peers to name its flows.
-RECALL_SECONDS: Final = 0.4
-MAX_PLACES: Final = 8192
+# How long an agent waits after its start for the peers' lists of its flows.
+RECALL_TIMEOUT_SECONDS: Final = 0.4
+MAX_INSTANCES: Final = 8192
 
 
-class Verdict(IntEnum):
-    """Number what a peer knows of a place: a target on its host."""
+class InstanceStatus(IntEnum):
+    """What a peer knows of an instance: a target on its host."""
 
     UNSURE = 0
-    # An earlier agent stood beside the target: flows may live there.
+    # The target had an agent before: it may have flows.
     KNOWN = 1
-    # The place is new: nobody can own flows there yet.
+    # The instance is new: it cannot have flows yet.
     FRESH = 2
 
 
-class PlaceMemory:
-    """Remember which places were there before, and which agent stood there."""
+class InstanceHistory:
+    """Record the instances of a service and the agents that were seen beside them."""
 
     def __init__(self) -> None:
-        self._first: dict[int, tuple[int, Verdict]] = {}
-        self._starts: dict[int, int] = {}
-        self._has_table = False
-
-    def note(self, targets: tuple[Target, ...]) -> None:
-        """Take in the targets of a table."""
-        verdict = Verdict.FRESH if self._has_table else Verdict.UNSURE
-        self._has_table = True
+        self._first_seen: dict[int, tuple[int, InstanceStatus]] = {}
+        self._agent_starts: dict[int, int] = {}
+        self._has_seen_table = False
+
+    def add_targets(self, targets: tuple[Target, ...]) -> None:
+        """Record the targets of a table."""
+        status = InstanceStatus.FRESH if self._has_seen_table else InstanceStatus.UNSURE
+        self._has_seen_table = True
         for target in targets:
-            self._first.setdefault(
-                identify_place(target), (target.incarnation, verdict)
+            self._first_seen.setdefault(
+                hash_instance(target), (target.incarnation, status)
             )
-        while len(self._first) > MAX_PLACES:
-            del self._first[next(iter(self._first))]
+        while len(self._first_seen) > MAX_INSTANCES:
+            del self._first_seen[next(iter(self._first_seen))]
 
-    def judge(self, place: int, incarnation: int, start: int) -> Verdict:
-        """Tell what is known of a place whose agent has just started.
+    def classify(
+        self, instance_id: int, incarnation: int, start_id: int
+    ) -> InstanceStatus:
+        """Return the status of an instance whose agent has just started.
 
-        An agent that restarts beside its target may keep its incarnation, so that
-        the number of the start tells one agent from the next.
+        An agent that restarts beside its target may keep its incarnation; ``start_id``
+        distinguishes it from the previous agent.
         """
-        first, verdict = self._first.get(place, (incarnation, Verdict.FRESH))
-        if len(self._starts) >= MAX_PLACES:
-            self._starts.clear()
-        known_start = self._starts.setdefault(place, start)
-        if first != incarnation or known_start != start:
-            return Verdict.KNOWN
-        return verdict
+        first_incarnation, status = self._first_seen.get(
+            instance_id, (incarnation, InstanceStatus.FRESH)
+        )
+        if len(self._agent_starts) >= MAX_INSTANCES:
+            self._agent_starts.clear()
+        known_start_id = self._agent_starts.setdefault(instance_id, start_id)
+        if first_incarnation != incarnation or known_start_id != start_id:
+            return InstanceStatus.KNOWN
+        return status
 
 
 class Recall:
-    """Track the answers of the peers to an agent that has just started."""
+    """Track the answers of the peers to one recall, after the start of an agent."""
 
     def __init__(self) -> None:
-        self.asked = False
+        self.has_started = False
         self._deadline = 0.0
-        self._last_deadline = 0.0
-        self._waiting: set[int] = set()
-        self._received: Counter[int] = Counter()
-        self._verdicts: set[int] = set()
+        self._answer_deadline = 0.0
+        self._pending_peers: set[int] = set()
+        self._received_keys: Counter[int] = Counter()
+        self._statuses: set[int] = set()
 
     def start(self, peers: set[int], now: float) -> None:
-        """Wait for these peers; nobody to wait for ends the recall at once."""
-        self.asked = True
-        self._waiting = set(peers)
-        self._last_deadline = now + RECALL_SECONDS
-        self._deadline = self._last_deadline if peers else 0.0
-
-    def is_open(self, now: float) -> bool:
-        """Tell whether peers may still name flows."""
+        """Wait for the answers of these peers; without any the recall has ended."""
+        self.has_started = True
+        self._pending_peers = set(peers)
+        self._answer_deadline = now + RECALL_TIMEOUT_SECONDS
+        self._deadline = self._answer_deadline if peers else 0.0
+
+    def is_running(self, now: float) -> bool:
+        """Return whether the recall still waits for answers."""
         return now < self._deadline
 
-    def takes_answers(self, now: float) -> bool:
-        """Tell whether an answer still counts; that of a suspect may come late."""
-        return now < self._last_deadline
+    def accepts_answers(self, now: float) -> bool:
+        """Return whether an answer still counts; that of a suspect may be late."""
+        return now < self._answer_deadline
 
-    def list_waiting(self) -> set[int]:
-        """Return the peers that have not answered whole."""
-        return set(self._waiting)
+    def list_pending_peers(self) -> set[int]:
+        """Return the peers whose answer is not complete."""
+        return set(self._pending_peers)
 
-    def count(self, peer: int, keys: int) -> None:
-        """Count keys that a peer has sent."""
-        self._received[peer] += keys
+    def add_received_keys(self, peer: int, key_count: int) -> None:
+        """Count the keys in a datagram from a peer."""
+        self._received_keys[peer] += key_count
 
-    def finish(self, peer: int, total: int, verdict: int) -> None:
-        """Take a peer's last word; the recall ends when nothing is missing.
+    def finish_peer(self, peer: int, total: int, status: int) -> None:
+        """Handle the datagram that ends a peer's answer.
 
-        A peer with a missing datagram is asked again until the deadline.
+        The recall ends when the answers of all peers are complete. A peer whose answer
+        lacks keys is asked again until the deadline.
         """
-        self._verdicts.add(verdict)
-        if self._received.pop(peer, 0) >= total:
-            self._waiting.discard(peer)
-        if not self._waiting:
+        self._statuses.add(status)
+        if self._received_keys.pop(peer, 0) >= total:
+            self._pending_peers.discard(peer)
+        if not self._pending_peers:
             self._deadline = 0.0
 
-    def is_fresh(self) -> bool:
-        """Tell whether the peers are sure that no flows lived here before.
+    def is_new_instance(self) -> bool:
+        """Return whether the peers know that this instance cannot have older flows.
 
-        Were a new target to adopt flows that nobody claims for the moment, it would
-        take those of an agent that is just restarting.
+        A new target must not adopt flows without a known owner: they may belong to a
+        target whose agent is restarting.
         """
-        return Verdict.FRESH in self._verdicts and Verdict.KNOWN not in self._verdicts
+        return (
+            InstanceStatus.FRESH in self._statuses
+            and InstanceStatus.KNOWN not in self._statuses
+        )
--- a/ibisshunt/coordination/flows/store.py
+++ b/ibisshunt/coordination/flows/store.py
@@ -1,4 +1,4 @@
-"""Hold the flows an agent owns and the pointers to flows that others own."""
+"""Store the flows that an agent owns and pointers to flows that others own."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -6,70 +6,71 @@
 
 from ...protocol.packet import FIN, RST
 
-# A flow that its caller has reset is forgotten after this many seconds, unless more
-# packets show that the reset was not a valid one.
-RESET_LINGER_SECONDS: Final = 10
+# A flow that its caller has reset is removed after this time, unless further packets
+# show that the reset was not valid.
+RESET_RETENTION_SECONDS: Final = 10
 MAX_OWNERS: Final = 4096
-SWEEP_STEP: Final = 512
+SWEEP_BATCH_KEYS: Final = 512
 
-# A flow's state is one small integer: its deadline in whole seconds and two bits.
+# The state of a flow is one integer: its deadline in whole seconds and two flag bits.
+# That of a pointer is its deadline, a flag bit and the index of its owner.
 _CLOSING: Final = 1
 _ADOPTED: Final = 2
 _DEADLINE_SHIFT: Final = 2
 _OWNER_BITS: Final = 13
 _OWNER_MASK: Final = (1 << _OWNER_BITS) - 1
-_GUESSED: Final = 1 << _OWNER_BITS
+_UNCONFIRMED: Final = 1 << _OWNER_BITS
 _POINTER_SHIFT: Final = _OWNER_BITS + 1
-_LOW_MASK: Final = (1 << _POINTER_SHIFT) - 1
+_POINTER_MASK: Final = (1 << _POINTER_SHIFT) - 1
 
 
 class FlowStore:
-    """Hold a bounded number of flows with the deadline of each.
+    """Store a limited number of flows with their deadlines.
 
     The values are shared integers, because a million flows have only a few hundred
-    deadlines: a flow costs its key and its place in the map.
+    different deadlines: a flow costs its key and its entry in the map.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.closing = 0
         self._states: dict[bytes, int] = {}
-        self._shared: dict[int, int] = {}
+        self._interned: dict[int, int] = {}
 
     def __len__(self) -> int:
-        """Count all flows, closing ones too."""
+        """Return the number of flows, closing ones included."""
         return len(self._states)
 
     def __contains__(self, key: bytes) -> bool:
-        """Tell whether the flow is held."""
+        """Return whether the flow is stored."""
         return key in self._states
 
     def has_room(self) -> bool:
-        """Tell whether one more flow fits."""
+        """Return whether there is room for another flow."""
         return len(self._states) < self.limit
 
     def is_closing(self, key: bytes) -> bool:
-        """Tell whether the caller has ended its side of the flow."""
+        """Return whether the caller has closed its side of the flow."""
         return bool(self._states.get(key, 0) & _CLOSING)
 
     def is_adopted(self, key: bytes) -> bool:
-        """Tell whether only one packet has shown a flow that was adopted.
+        """Return whether an adopted flow has had no packet since its adoption.
 
-        The target may not hold it: its host has reset it then, and no more packets
-        come.
+        The target may not have the flow: its host has then sent a reset, and no more
+        packets arrive.
         """
         return bool(self._states.get(key, 0) & _ADOPTED)
 
     def adopt(self, key: bytes, now: float, idle_seconds: float) -> None:
-        """Add a flow that nobody else claims."""
+        """Add a flow that no other agent owns."""
         self.touch(key, 0, now, idle_seconds)
         self._states[key] |= _ADOPTED
 
     def touch(self, key: bytes, bits: int, now: float, idle_seconds: float) -> None:
-        """Add a flow, or note a packet of it.
+        """Add a flow, or record a packet of it.
 
-        After the caller's FIN a flow stays until it has been idle: the target may go
-        on sending, and answers do not pass by here.
+        After the caller's FIN a flow stays until its idle timeout: the target may
+        continue to send, and its packets do not pass through this agent.
         """
         old = self._states.get(key, 0)
         closing = old & _CLOSING
@@ -77,13 +78,13 @@
             closing = _CLOSING
             self.closing += 1
         if bits & RST:
-            idle_seconds = min(idle_seconds, RESET_LINGER_SECONDS)
+            idle_seconds = min(idle_seconds, RESET_RETENTION_SECONDS)
         state = int(now + idle_seconds + 1) << _DEADLINE_SHIFT | closing
         if state != old:
-            self._states[key] = self._shared.setdefault(state, state)
+            self._states[key] = self._interned.setdefault(state, state)
 
     def remove(self, key: bytes) -> None:
-        """Forget a flow."""
+        """Remove a flow."""
         self.closing -= self._states.pop(key, 0) & _CLOSING
 
     def list_keys(self) -> list[bytes]:
@@ -91,12 +92,12 @@
         return list(self._states)
 
     def sweep(self, now: float) -> Iterator[int]:
-        """Forget what has expired; yield how many, after each step.
+        """Remove expired flows; yield the number of removed flows after each batch.
 
-        The caller lets other tasks run between two steps.
+        With many flows this takes long enough to delay other tasks.
         """
         floor = int(now) << _DEADLINE_SHIFT
-        self._shared = {state: state for state in self._shared if state >= floor}
+        self._interned = {state: state for state in self._interned if state >= floor}
         yield from _sweep(self.list_keys(), lambda key: self._expire(key, now))
 
     def _expire(self, key: bytes, now: float) -> bool:
@@ -109,18 +110,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """Describe a target that owns flows, as a peer told it at a revision."""
+    """A target that owns flows, as a peer reported it at a revision."""
 
     incarnation: int
-    place: int
-    pair: tuple[str, int]
+    instance_id: int
+    socket_address: tuple[str, int]
     revision: int
 
 
 class PointerStore:
-    """Remember for a bounded number of flows which other target owns them.
+    """Store which other target owns a flow, for a limited number of flows.
 
-    A lost pointer costs hops and no flow: the packet walks the chain instead.
+    A lost pointer costs hops, no flow: packets are forwarded along the chain instead.
     """
 
     def __init__(self, limit: int) -> None:
@@ -130,44 +131,49 @@
         self._indexes: dict[int, int] = {}
 
     def __len__(self) -> int:
-        """Count the pointers."""
+        """Return the number of pointers."""
         return len(self._states)
 
     def find(self, key: bytes) -> Owner | None:
-        """Return the owner of a flow, if a pointer tells it."""
+        """Return the owner of a flow, or None without a pointer."""
         state = self._states.get(key)
         return None if state is None else self._owners[state & _OWNER_MASK]
 
-    def list_keys(self, place: int) -> list[bytes]:
-        """Return the keys of the flows of a place, as its own agent told them.
+    def list_keys(self, instance_id: int) -> list[bytes]:
+        """Return the keys of the flows that an instance's own agent has reported.
 
-        A guess is left out: whom a flow was passed to may have passed it on.
+        Unconfirmed pointers are left out: the target that a flow was redirected to may
+        have redirected it as well.
         """
-        wanted = {
-            index for index, owner in enumerate(self._owners) if owner.place == place
+        indexes = {
+            index
+            for index, owner in enumerate(self._owners)
+            if owner.instance_id == instance_id
         }
-        if not wanted:
+        if not indexes:
             return []
         return [
-            key for key, state in self._states.items() if state & _LOW_MASK in wanted
+            key
+            for key, state in self._states.items()
+            if state & _POINTER_MASK in indexes
         ]
 
     def add(
-        self, key: bytes, owner: Owner, deadline: float, guessed: bool = False
+        self, key: bytes, owner: Owner, deadline: float, unconfirmed: bool = False
     ) -> None:
-        """Remember the owner until a deadline in seconds.
+        """Store the owner of a flow until a deadline in seconds.
 
-        ``guessed`` tells that the owner itself has not said so.
+        An ``unconfirmed`` pointer was not sent by the owner itself.
         """
-        low = self._find_index(owner) | (_GUESSED if guessed else 0)
+        pointer_bits = self._find_index(owner) | (_UNCONFIRMED if unconfirmed else 0)
         if key not in self._states and len(self._states) >= self.limit:
             del self._states[next(iter(self._states))]
-        self._states[key] = int(deadline + 1) << _POINTER_SHIFT | low
+        self._states[key] = int(deadline + 1) << _POINTER_SHIFT | pointer_bits
 
     def refresh(self, key: bytes, deadline: float) -> None:
-        """Keep a pointer until a later deadline."""
-        low = self._states[key] & _LOW_MASK
-        self._states[key] = int(deadline + 1) << _POINTER_SHIFT | low
+        """Extend the deadline of a pointer."""
+        pointer_bits = self._states[key] & _POINTER_MASK
+        self._states[key] = int(deadline + 1) << _POINTER_SHIFT | pointer_bits
 
     def _find_index(self, owner: Owner) -> int:
         index = self._indexes.get(owner.incarnation)
@@ -183,11 +189,11 @@
         return len(self._owners) - 1
 
     def remove(self, key: bytes) -> None:
-        """Forget a pointer."""
+        """Remove a pointer."""
         self._states.pop(key, None)
 
     def sweep(self, now: float) -> Iterator[int]:
-        """Forget what has expired; yield how many, after each step."""
+        """Remove expired pointers; yield the number removed after each batch."""
         yield from _sweep(list(self._states), lambda key: self._expire(key, now))
 
     def _expire(self, key: bytes, now: float) -> bool:
@@ -199,18 +205,18 @@
 
 
 class DeadlineStore:
-    """Hold a bounded number of keys with a deadline each; the oldest make room."""
+    """Store a limited number of keys with deadlines; the oldest are evicted first."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._deadlines: dict[bytes, float] = {}
 
     def __len__(self) -> int:
-        """Count the keys."""
+        """Return the number of keys."""
         return len(self._deadlines)
 
     def find(self, key: bytes) -> float | None:
-        """Return the deadline of a key."""
+        """Return the deadline of a key, or None."""
         return self._deadlines.get(key)
 
     def add(self, key: bytes, deadline: float) -> None:
@@ -221,11 +227,11 @@
         self._deadlines[key] = deadline
 
     def remove(self, key: bytes) -> None:
-        """Forget a key."""
+        """Remove a key."""
         self._deadlines.pop(key, None)
 
-    def drop_before(self, now: float) -> None:
-        """Forget the keys at the front whose deadline has passed."""
+    def expire(self, now: float) -> None:
+        """Remove expired keys, oldest first, up to the first that is still valid."""
         while self._deadlines:
             key = next(iter(self._deadlines))
             if self._deadlines[key] > now:
@@ -234,5 +240,5 @@
 
 
 def _sweep(keys: list[bytes], expire: Callable[[bytes], bool]) -> Iterator[int]:
-    for start in range(0, len(keys), SWEEP_STEP):
-        yield sum(map(expire, keys[start : start + SWEEP_STEP]))
+    for start in range(0, len(keys), SWEEP_BATCH_KEYS):
+        yield sum(map(expire, keys[start : start + SWEEP_BATCH_KEYS]))
--- a/ibisshunt/coordination/flows/table.py
+++ b/ibisshunt/coordination/flows/table.py
@@ -1,4 +1,4 @@
-"""Order the targets of a service for each bucket of flows."""
+"""Order the targets of a service for each bucket of flows by rendezvous hashing."""
 
 from array import array
 from collections.abc import Iterator
@@ -11,32 +11,31 @@
 from .ranking import (
     BUCKETS,
     HASH_RANGE,
-    find_next_step,
-    find_score,
-    find_share,
-    identify_place,
-    identify_target,
+    compute_score,
+    compute_share,
+    find_next_ramp_step,
+    hash_instance,
+    hash_name,
     pack_bucket,
 )
 
-CHAIN_LIMIT: Final = 32
-# Buckets worked out before other tasks may run.
-PREPARE_STEP: Final = 64
-NOBODY: Final = -1
-_UNKNOWN: Final = -2
+MAX_CHAIN_LENGTH: Final = 32
+# Buckets that are computed before other tasks may run.
+PRECOMPUTE_BATCH_BUCKETS: Final = 64
+NO_TARGET_INDEX: Final = -1
+_NOT_COMPUTED: Final = -2
 
 
 class ServiceTable:
-    """Give the chain of each bucket of one service.
+    """Compute the chain of each bucket of one service.
 
-    A chain starts with the first and second choice for new flows; then come the other
-    targets in the order in which they are likely to own older flows. The whole is a
-    pure function of the slice and ``now`` (wall-clock seconds): chains are worked out
-    when first asked for, and kept.
+    A chain starts with the first and second choice for new flows. The other targets
+    follow, the likeliest owners of older flows first. A table is a pure function of
+    the slice and ``now`` (wall-clock seconds); chains are computed on first use.
 
-    The order is weighted rendezvous hashing over *all* targets, whatever their state:
-    a target that leaves keeps its place in the order and only takes no new flows, so
-    that the chain still leads to it.
+    The order is weighted rendezvous hashing over *all* targets, whatever their state.
+    A leaving target accepts no new flows, but keeps its position in the order, so that
+    the chain still leads to it.
     """
 
     def __init__(self, slice_: ServiceSlice, now: float) -> None:
@@ -47,134 +46,144 @@
             target for target in slice_.targets if target.state != TargetState.GONE
         )
         self.by_incarnation = {target.incarnation: target for target in self.targets}
-        self.valid_until = find_next_step(self.targets, now)
-        # When every lease has run out it is control that cannot be reached, rather than
-        # that all targets died at once: suspects then take new flows.
+        self.valid_until = find_next_ramp_step(self.targets, now)
+        # When all leases have expired, the control hosts are more likely unreachable
+        # than all targets dead: suspects then accept new flows.
         ready = [target for target in self.targets if target.takes_new_work]
-        takers = ready or [target for target in self.targets if target.is_suspect]
-        self._takers = {target.incarnation for target in takers}
-        self._identities = [identify_target(target.name) for target in self.targets]
-        self._places = [identify_place(target) for target in self.targets]
-        self._shares = [find_share(target, now) for target in self.targets]
-        self._weights = [max(1, one.announcement.weight) for one in self.targets]
-        self._newest_takers = self._sort_takers()
-        self._has_cold = any(self._shares[one] < 1 for one in self._newest_takers)
-        self._is_even = len({self._weights[one] for one in self._newest_takers}) == 1
+        accepting = ready or [target for target in self.targets if target.is_suspect]
+        self._accepting_incarnations = {target.incarnation for target in accepting}
+        self._name_hashes = [hash_name(target.name) for target in self.targets]
+        self._instance_ids = [hash_instance(target) for target in self.targets]
+        self._shares = [compute_share(target, now) for target in self.targets]
+        self._weights = [max(1, target.announcement.weight) for target in self.targets]
+        self._accepting_indexes = self._list_accepting_indexes()
+        self._has_warming_target = any(
+            self._shares[index] < 1 for index in self._accepting_indexes
+        )
+        self._has_equal_weights = (
+            len({self._weights[index] for index in self._accepting_indexes}) == 1
+        )
         self._chains: dict[int, tuple[Target, ...]] = {}
-        self._choices: dict[int, int] = {}
-        # Balancers ask for the first choice only and hold every service: two bytes a
-        # bucket instead of a chain.
-        self._firsts = array("h", [_UNKNOWN]) * BUCKETS
+        self._choice_counts: dict[int, int] = {}
+        # Balancers need only the first choices, but of every service: two bytes for
+        # each bucket instead of a chain.
+        self._first_indexes = array("h", [_NOT_COMPUTED]) * BUCKETS
 
-    def _sort_takers(self) -> list[int]:
-        """Return the indexes of the takers, the newest incarnation first.
+    def _list_accepting_indexes(self) -> list[int]:
+        """Return the indexes of targets that accept new flows, newest first.
 
-        Two incarnations of one name score alike: the newer wins.
+        Two incarnations of one name have the same score: the newer one wins.
         """
-        takers = [
-            index for index, target in enumerate(self.targets) if self.is_taker(target)
+        accepting = [
+            index
+            for index, target in enumerate(self.targets)
+            if self.accepts_new_flows(target)
         ]
-        return sorted(takers, key=lambda one: -self.targets[one].incarnation)
+        return sorted(accepting, key=lambda index: -self.targets[index].incarnation)
 
-    def is_old(self, now: float) -> bool:
-        """Tell whether the share of a cold target has grown since."""
+    def is_outdated(self, now: float) -> bool:
+        """Return whether a slow-start share has grown since the table was built."""
         return now >= self.valid_until
 
-    def find_first(self, bucket: int) -> int:
-        """Return the index in ``targets`` of whom to ask first, or -1 for nobody.
+    def find_first_index(self, bucket: int) -> int:
+        """Return the index in ``targets`` of the first choice, or -1 without targets.
 
-        Without a taker it is the likeliest owner: it serves its old flows and refuses
-        new ones truthfully.
+        If no target accepts new flows it is the likeliest owner of older ones: it
+        delivers those and refuses new flows.
         """
-        first = self._firsts[bucket]
-        if first == _UNKNOWN:
-            first = self._firsts[bucket] = self._work_out_first(bucket)
+        first = self._first_indexes[bucket]
+        if first == _NOT_COMPUTED:
+            first = self._first_indexes[bucket] = self._compute_first_index(bucket)
         return first
 
-    def _work_out_first(self, bucket: int) -> int:
-        """Return what the chain starts with, without working out the chain."""
-        candidates = self._newest_takers
-        if self._has_cold:
-            warm = [index for index in candidates if self._is_warm(bucket, index)]
-            candidates = warm or candidates
-        if not candidates:
+    def _compute_first_index(self, bucket: int) -> int:
+        """Return the index of the first choice without computing the chain."""
+        indexes = self._accepting_indexes
+        if self._has_warming_target:
+            covering = [
+                index for index in indexes if self._covers_bucket(bucket, index)
+            ]
+            indexes = covering or indexes
+        if not indexes:
             order = sorted(self._rank(bucket), key=self._is_suspect)
-            return order[0] if order else NOBODY
+            return order[0] if order else NO_TARGET_INDEX
         salt = pack_bucket(bucket)
-        identities = self._identities
+        name_hashes = self._name_hashes
         digests = [
-            xxhash.xxh3_64_intdigest(salt, identities[index]) for index in candidates
+            xxhash.xxh3_64_intdigest(salt, name_hashes[index]) for index in indexes
         ]
-        if self._is_even:
-            # All take an equal part: the largest digest wins and needs no logarithm.
-            return candidates[digests.index(max(digests))]
+        if self._has_equal_weights:
+            # With equal weights the largest digest wins: no logarithm is needed.
+            return indexes[digests.index(max(digests))]
         scores = [
-            find_score(digest, self._weights[index])
-            for digest, index in zip(digests, candidates, strict=True)
+            compute_score(digest, self._weights[index])
+            for digest, index in zip(digests, indexes, strict=True)
         ]
-        return candidates[scores.index(min(scores))]
+        return indexes[scores.index(min(scores))]
 
     def find_chain(self, bucket: int) -> tuple[Target, ...]:
-        """Return the targets to ask, first choice first; at most CHAIN_LIMIT."""
+        """Return the targets to try, first choice first; at most MAX_CHAIN_LENGTH."""
         chain = self._chains.get(bucket)
         if chain is None:
             chain = self._chains[bucket] = self._make_chain(bucket)
         return chain
 
     def find_choices(self, bucket: int) -> tuple[Target, ...]:
-        """Return the first and second choice for new flows; may be empty."""
+        """Return the first and second choice for new flows, as far as there are any."""
         chain = self.find_chain(bucket)
-        return chain[: self._choices[bucket]]
-
-    def is_taker(self, target: Target) -> bool:
-        """Tell whether a target may take new flows."""
-        return target.incarnation in self._takers
-
-    def name_first(self, bucket: int) -> int:
-        """Return the incarnation of whom to ask first, or 0 for nobody."""
-        index = self.find_first(bucket)
-        return 0 if index == NOBODY else self.targets[index].incarnation
-
-    def list_firsts(self) -> list[int]:
-        """Return the incarnation of whom to ask first, for every bucket."""
-        names = [target.incarnation for target in self.targets] + [0]
-        return [names[self.find_first(bucket)] for bucket in range(BUCKETS)]
+        return chain[: self._choice_counts[bucket]]
+
+    def accepts_new_flows(self, target: Target) -> bool:
+        """Return whether a target accepts new flows."""
+        return target.incarnation in self._accepting_incarnations
+
+    def find_first_incarnation(self, bucket: int) -> int:
+        """Return the incarnation of the first choice, or 0 without targets."""
+        index = self.find_first_index(bucket)
+        return 0 if index == NO_TARGET_INDEX else self.targets[index].incarnation
+
+    def list_first_incarnations(self) -> list[int]:
+        """Return the incarnation of the first choice of every bucket."""
+        incarnations = [target.incarnation for target in self.targets] + [0]
+        return [
+            incarnations[self.find_first_index(bucket)] for bucket in range(BUCKETS)
+        ]
 
-    def find_by_place(self, place: int) -> Target | None:
-        """Return the newest incarnation of the target in a place."""
-        found = [
+    def find_by_instance(self, instance_id: int) -> Target | None:
+        """Return the newest incarnation with an instance id, or None."""
+        matching = [
             target
-            for target, known in zip(self.targets, self._places, strict=True)
-            if known == place
+            for target, known_id in zip(self.targets, self._instance_ids, strict=True)
+            if known_id == instance_id
         ]
-        return max(found, key=lambda target: target.incarnation, default=None)
+        return max(matching, key=lambda target: target.incarnation, default=None)
 
-    def find_share(self, incarnation: int) -> float:
-        """Return the part of its full share that a target takes; 1 when unknown."""
+    def compute_share(self, incarnation: int) -> float:
+        """Return the slow-start share of a target in 0-1; 1 for an unknown target."""
         for target, share in zip(self.targets, self._shares, strict=True):
             if target.incarnation == incarnation:
                 return share
         return 1.0
 
-    def prepare(self) -> Iterator[int]:
-        """Work out the first choice of every bucket; yield between the steps.
+    def precompute(self) -> Iterator[int]:
+        """Compute the first choice of every bucket; yield after each batch.
 
-        A large service takes a while: the caller lets other tasks run in between.
+        For a large service this takes long enough to delay other tasks.
         """
-        for start in range(0, BUCKETS, PREPARE_STEP):
-            for bucket in range(start, start + PREPARE_STEP):
-                self.find_first(bucket)
+        for start in range(0, BUCKETS, PRECOMPUTE_BATCH_BUCKETS):
+            for bucket in range(start, start + PRECOMPUTE_BATCH_BUCKETS):
+                self.find_first_index(bucket)
             yield start
 
     def _make_chain(self, bucket: int) -> tuple[Target, ...]:
         ranked = self._rank(bucket)
-        choices = self._choose(bucket, ranked)
-        self._choices[bucket] = len(choices)
+        choices = self._choose_first_two(bucket, ranked)
+        self._choice_counts[bucket] = len(choices)
         rest = [index for index in ranked if index not in choices]
-        # A suspect may be dead: a packet that walks through it would be lost, so it
-        # is asked last. It is asked all the same, because it may be alive.
+        # A suspect may be dead and a packet that is forwarded to it lost, so suspects
+        # come last. They stay in the chain because they may be alive.
         rest.sort(key=self._is_suspect)
-        order = (choices + rest)[:CHAIN_LIMIT]
+        order = (choices + rest)[:MAX_CHAIN_LENGTH]
         return tuple(self.targets[index] for index in order)
 
     def _is_suspect(self, index: int) -> bool:
@@ -185,34 +194,37 @@
         salt = pack_bucket(bucket)
         scores = []
         for index, target in enumerate(self.targets):
-            digest = xxhash.xxh3_64_intdigest(salt, self._identities[index])
-            score = find_score(digest, self._weights[index])
+            digest = xxhash.xxh3_64_intdigest(salt, self._name_hashes[index])
+            score = compute_score(digest, self._weights[index])
             scores.append((score, -target.incarnation, index))
         scores.sort()
         return [index for _, _, index in scores]
 
-    def _choose(self, bucket: int, ranked: list[int]) -> list[int]:
-        """Return the first two takers, in two failure domains where there are two."""
-        ready = [index for index in ranked if self.is_taker(self.targets[index])]
-        takers = [index for index in ready if self._is_warm(bucket, index)] or ready
-        if len(takers) < 2:
-            return takers
-        first = takers[0]
+    def _choose_first_two(self, bucket: int, ranked: list[int]) -> list[int]:
+        """Return the first two accepting targets, if possible of two domains."""
+        accepting = [
+            index for index in ranked if self.accepts_new_flows(self.targets[index])
+        ]
+        eligible = [
+            index for index in accepting if self._covers_bucket(bucket, index)
+        ] or accepting
+        if len(eligible) < 2:
+            return eligible
+        first = eligible[0]
         domain = self.targets[first].failure_domain
-        for index in takers[1:]:
+        for index in eligible[1:]:
             if self.targets[index].failure_domain != domain:
                 return [first, index]
-        return takers[:2]
+        return eligible[:2]
 
-    def _is_warm(self, bucket: int, index: int) -> bool:
-        """Tell whether a target's share so far covers this bucket.
+    def _covers_bucket(self, bucket: int, index: int) -> bool:
+        """Return whether the slow-start share of a target covers this bucket.
 
-        The buckets of a smaller share are part of those of a larger one: a ramp only
-        ever adds buckets.
+        A larger share covers all buckets of a smaller one, so a ramp only adds buckets.
         """
         share = self._shares[index]
         if share >= 1.0:
             return True
         salt = b"ramp" + pack_bucket(bucket)
-        digest = xxhash.xxh3_64_intdigest(salt, self._identities[index])
+        digest = xxhash.xxh3_64_intdigest(salt, self._name_hashes[index])
         return digest / HASH_RANGE < share
--- a/ibisshunt/coordination/forwarding/__init__.py
+++ b/ibisshunt/coordination/forwarding/__init__.py
@@ -1,6 +1,6 @@
-"""Decide where the packets of a flow go, whatever format carries them.
+"""Decide where the packets of a flow go, independent of the packet format.
 
-The target is the truth about its flows: it returns each packet of a flow that it does
-not hold. A balancer remembers where it placed a flow; any other balancer asks the
-agents. Nothing is replicated, so nothing can disagree.
+Each target is authoritative for its flows: it bounces every packet of a flow that it
+does not hold. A balancer remembers where it has placed a flow; any other balancer
+queries the agents. Flow state is not replicated, so no replicas can disagree.
 """
--- a/ibisshunt/coordination/forwarding/agent.py
+++ b/ibisshunt/coordination/forwarding/agent.py
@@ -4,76 +4,86 @@
 from math import ceil
 
 from ...model.domains import DrainedDomains
-from .holding.cold_limit import compute_quota
-from .holding.denials import Denial
-from .holding.held import HeldFlow
-from .holding.held_flows import MAX_FLOW_SECONDS, HeldFlows
-from .holding.incarnations import Announcement, Word
-from .holding.intake import Intake, Refusal
-from .holding.own_target import OwnTarget
-from .holding.probed import ProbedFlows
-from .holding.reporter import Reporter
-from .holding.requests import UNANSWERED_SECONDS, RequestLog
 from .messages import (
     Answer,
-    Ask,
     Deliver,
-    Known,
+    FlowAnswer,
+    FlowLocations,
+    FlowQuery,
     Probe,
-    Reason,
-    Returned,
-    Send,
+    RejectedPacket,
+    RejectReason,
+    SendMessage,
+    SendToCaller,
+    SendToTarget,
     Status,
     TargetState,
-    ToCaller,
-    Told,
-    ToTarget,
 )
-from .routes import RouteTable, make_tag
+from .routes import RouteTable, compute_service_tag
 from .segment import Segment
+from .target_tracking.denials import DenialReason
+from .target_tracking.flow_admission import FlowAdmission, Rejection
+from .target_tracking.flow_table import MAX_FLOW_SECONDS, FlowTable
+from .target_tracking.incarnations import Heartbeat, HeartbeatKind
+from .target_tracking.local_target import LocalTarget
+from .target_tracking.pending_probes import PendingProbes
+from .target_tracking.request_tracker import UNANSWERED_SECONDS, RequestTracker
+from .target_tracking.status_reporter import StatusReporter
+from .target_tracking.tracked_flow import TrackedFlow
+from .target_tracking.warmup_limiter import compute_quota
 
-FORGET_EACH_SECONDS = 1.0
+EXPIRY_INTERVAL_SECONDS = 1.0
 
-Action = Send | ToTarget | ToCaller
+Action = SendMessage | SendToTarget | SendToCaller
 
 
 class Agent:
-    """Own what one agent knows of its target and the target's flows.
+    """Deliver or reject the packets of one target, and track its flows.
 
-    ``domain`` is the target's failure domain; without one it cannot be drained. A cold
-    target gets at most ``cold_overage`` times what its service allows in a second, and
-    ``cold_slack`` new flows more.
+    ``agent_start_ms`` is the agent's start by its host's clock, in milliseconds; all
+    other times are in seconds. ``failure_domain`` is the target's; without one it
+    cannot be drained. While the target warms up it gets in a second at most
+    ``warmup_overage`` times the flows that its service allows, and ``warmup_slack``
+    more.
     """
 
     def __init__(
         self,
         service: str,
-        start: int,
+        agent_start_ms: int,
         heartbeat_seconds: float,
         now: float,
-        tell: Callable[..., None] = lambda event, **fields: None,
+        log_event: Callable[..., None] = lambda event, **fields: None,
         max_flow_seconds: float = MAX_FLOW_SECONDS,
-        observe: Callable[[float], None] = lambda seconds: None,
-        domain: str = "",
-        cold_overage: float = 1.0,
-        cold_slack: float = 0.0,
+        observe_latency: Callable[[float], None] = lambda seconds: None,
+        failure_domain: str = "",
+        warmup_overage: float = 1.0,
+        warmup_slack: float = 0.0,
     ) -> None:
         self.service = service
-        self.domain = domain
-        self.target = OwnTarget(heartbeat_seconds, now, tell, None if domain else False)
-        self.held = HeldFlows(max_flow_seconds, now)
+        self.failure_domain = failure_domain
+        self.target = LocalTarget(
+            heartbeat_seconds, now, log_event, None if failure_domain else False
+        )
+        self.flow_table = FlowTable(max_flow_seconds, now)
         self.routes = RouteTable()
-        self.requests = RequestLog(tell, observe, self._find_timeout)
-        self._reporter = Reporter(service, start, self.target, self.held, self.requests)
-        self.returned = 0
-        self.delivered = 0
-        self._tag = make_tag(service)
-        self._tell_event = tell
-        self._cold_overage = cold_overage
-        self._cold_slack = cold_slack
-        self._probed = ProbedFlows()
-        self._intake = Intake(self.target, self.requests, self._find_quota, now)
-        self._forget_at = now
+        self.request_tracker = RequestTracker(
+            log_event, observe_latency, self._find_timeout
+        )
+        self._reporter = StatusReporter(
+            service, agent_start_ms, self.target, self.flow_table, self.request_tracker
+        )
+        self.rejected_count = 0
+        self.delivered_count = 0
+        self._service_tag = compute_service_tag(service)
+        self._log_event = log_event
+        self._warmup_overage = warmup_overage
+        self._warmup_slack = warmup_slack
+        self._probes = PendingProbes()
+        self._admission = FlowAdmission(
+            self.target, self.request_tracker, self._find_quota, now
+        )
+        self._expire_at = now
 
     @property
     def state(self) -> TargetState:
@@ -81,261 +91,288 @@
         return self.target.state
 
     @property
-    def flows(self) -> dict[bytes, HeldFlow]:
-        """Return the flows of the target that were seen, by key."""
-        return self.held.by_key
+    def flows(self) -> dict[bytes, TrackedFlow]:
+        """Return the flows of the target that the agent has seen, by key."""
+        return self.flow_table.by_key
 
     @property
-    def present(self) -> Announcement | None:
-        """Return the last heartbeat of the present incarnation of the target."""
-        return self.target.present
-
-    # What the target says of itself.
-
-    def announce(self, found: Announcement, now: float) -> Word:
-        """Take a heartbeat; return what it is: LATE and UNCLEAR change nothing."""
-        word = self.target.classify(found)
-        if word in (Word.LATE, Word.UNCLEAR):
-            return word
-        if word == Word.SUCCESSOR:
-            self._replace(now)
-        elif word == Word.FIRST and found.number <= 1:
-            # The target started after this agent: it has seen each of its flows.
-            self.held.knows_all_at = now
-        self.target.take(found, now)
-        self.requests.slots = max(1, found.slots)
-        return word
-
-    def leave(self, name: str, born: int | None = None) -> bool:
-        """Take a target's last word; return whether it is the present one's."""
-        if not self.target.end(name, born):
+    def current_heartbeat(self) -> Heartbeat | None:
+        """Return the last heartbeat of the target's current incarnation."""
+        return self.target.current_heartbeat
+
+    # Heartbeats and statuses.
+
+    def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> HeartbeatKind:
+        """Handle a heartbeat; return its kind. Ignore STALE and MISSING_START ones."""
+        kind = self.target.classify(heartbeat)
+        if kind in (HeartbeatKind.STALE, HeartbeatKind.MISSING_START):
+            return kind
+        if kind == HeartbeatKind.NEW_INCARNATION:
+            self._replace_incarnation(now)
+        elif kind == HeartbeatKind.FIRST and heartbeat.sequence <= 1:
+            # The target started after this agent, which has seen all of its flows.
+            self.flow_table.complete_at = now
+        self.target.handle_heartbeat(heartbeat, now)
+        self.request_tracker.slots = max(1, heartbeat.slots)
+        return kind
+
+    def handle_leave(self, name: str, start_time_ms: int | None = None) -> bool:
+        """Handle a leave message; return whether the current target has left."""
+        if not self.target.handle_leave(name, start_time_ms):
             return False
-        self._tell_event("target_left", target=name, flows=len(self.flows))
+        self._log_event("target_left", target=name, flows=len(self.flows))
         self._drop_flows()
         return True
 
     def pause(self, now: float) -> None:
-        """Tell from now on that this agent is about to restart, or goes for good."""
+        """Report from now on that this agent is about to restart, or stops for good."""
         if self.target.pause(now):
-            self._tell_event("target_dead", service=self.service)
+            self._log_event("target_dead", service=self.service)
             self._drop_flows()
 
-    def report(self, now: float) -> Status:
+    def make_status(self, now: float) -> Status:
         """Return the next status for the balancers."""
-        return self._reporter.report(self.count_load(now), self.routes.version, now)
-
-    def introduce(self, address: str, now: float) -> list[Status | Known]:
-        """Return what a balancer has to hear that meets this agent, at ``address``."""
-        return [self.report(now), *self._reporter.list_early(address)]
+        return self._reporter.make_status(
+            self.count_load(now), self.routes.version, now
+        )
 
-    def take_routes(self, routes: RouteTable) -> None:
-        """Take a newer configuration; it tells how long callers wait for answers."""
+    def make_introduction(
+        self, address: str, now: float
+    ) -> list[Status | FlowLocations]:
+        """Return the messages for a new balancer; ``address`` is the agent's."""
+        return [
+            self.make_status(now),
+            *self._reporter.list_opened_before_heartbeat(address),
+        ]
+
+    def update_routes(self, routes: RouteTable) -> None:
+        """Use a newer configuration; its timeouts bound the wait for answers."""
         if routes.version > self.routes.version:
             self.routes = routes
 
-    def take_drained(self, drained: DrainedDomains) -> bool:
-        """Take the drained domains; return whether the target's own one has changed."""
-        is_drained = self.domain in drained.domains
-        if not self.target.note_drained(is_drained):
+    def update_drained_domains(self, drained: DrainedDomains) -> bool:
+        """Update the drained domains; return whether the target's drain has changed."""
+        is_drained = self.failure_domain in drained.domains
+        if not self.target.update_drained(is_drained):
             return False
-        self._tell_event(
+        self._log_event(
             "own_domain_state",
-            domain=self.domain,
+            domain=self.failure_domain,
             state="drained" if is_drained else "open",
             revision=drained.revision,
             flows=len(self.flows),
         )
         return True
 
-    def sweep(self, now: float) -> bool:
-        """Forget what is over; return whether the target was lost just now."""
-        self.requests.sweep(now)
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_EACH_SECONDS
-            self._probed.forget_old(now)
-            for key in self.held.forget_old(now):
-                self.requests.end(key)
-        if not self.target.fall_silent(now):
+    def tick(self, now: float) -> bool:
+        """Run periodic work; return whether the target has just become absent."""
+        self.request_tracker.expire(now)
+        if now >= self._expire_at:
+            self._expire_at = now + EXPIRY_INTERVAL_SECONDS
+            self._probes.expire(now)
+            for key in self.flow_table.expire(now):
+                self.request_tracker.remove_flow(key)
+        if not self.target.detect_absence(now):
             return False
         flows = len(self.flows)
-        self._tell_event("target_silent", service=self.service, flows=flows)
+        self._log_event("target_silent", service=self.service, flows=flows)
         return True
 
-    # The way in.
+    # Packets from callers.
 
-    def take(
-        self, origin: str, message: Deliver, segment: Segment, now: float
+    def handle_packet(
+        self, balancer: str, message: Deliver, segment: Segment, now: float
     ) -> Action | None:
-        """Take a packet from the balancer at ``origin``; a late copy is left out."""
-        flow = self.held.find(segment.key)
-        if flow is not None and flow.is_late_copy(segment):
+        """Handle a caller's packet from a balancer; drop a copy of an accepted SYN."""
+        flow = self.flow_table.find(segment.key)
+        if flow is not None and flow.is_duplicate_syn(segment):
             return None
-        # A caller that gave up while its flow opened ends it, and its request comes
-        # behind that: the target drops it, and no answer would end the count.
-        has_ended = flow is not None and flow.caller_ended
-        action = self._take(origin, message, segment, now)
-        if isinstance(action, ToTarget) and not segment.opens and not has_ended:
-            self.requests.note_inward(segment, now)
+        # A caller that gives up during the handshake sends a FIN and then its request:
+        # the target drops the request, and no answer would ever end its count.
+        is_closed = flow is not None and flow.is_closed_by_caller
+        action = self._deliver(balancer, message, segment, now)
+        if isinstance(action, SendToTarget) and not segment.is_syn and not is_closed:
+            self.request_tracker.record_caller_segment(segment, now)
         return action
 
-    def _take(
-        self, origin: str, message: Deliver, segment: Segment, now: float
-    ) -> Send | ToTarget:
-        if message.tag != self._tag:
-            return self._return(origin, Refusal(Reason.OTHER_SERVICE), segment)
-        if segment.opens and not segment.acknowledges:
-            return self._take_opening(origin, segment, message.limit, now)
-        if not self.held.may_hold(segment, self.state, now):
-            self._log_denial(segment.key, segment.acknowledgement, origin)
-            return self._return(origin, Refusal(Reason.NOT_HELD), segment)
+    def _deliver(
+        self, balancer: str, message: Deliver, segment: Segment, now: float
+    ) -> SendMessage | SendToTarget:
+        if message.service_tag != self._service_tag:
+            return self._reject(
+                balancer, Rejection(RejectReason.OTHER_SERVICE), segment
+            )
+        if segment.is_syn and not segment.is_ack:
+            return self._deliver_syn(balancer, segment, message.max_requests, now)
+        if not self.flow_table.may_hold(segment, self.state, now):
+            self._log_denial(segment.key, segment.acknowledgement, balancer)
+            return self._reject(balancer, Rejection(RejectReason.NOT_HELD), segment)
         if segment.data:
-            self._intake.end(segment.key)
-        return self._hand_over(origin, segment, now)
-
-    def _take_opening(
-        self, origin: str, segment: Segment, limit: int, now: float
-    ) -> Send | ToTarget:
-        if refusal := self._intake.refuse(origin, segment.key, limit, now):
-            return self._return(origin, refusal, segment)
-        self._intake.take(segment.key, now)
-        self.held.find_or_add(segment.key, now).begin_again(segment.sequence, now)
-        return self._hand_over(origin, segment, now)
-
-    def _hand_over(self, origin: str, segment: Segment, now: float) -> ToTarget:
-        self.held.find_or_add(segment.key, now).note_inward(origin, segment, now)
-        self.delivered += 1
-        return ToTarget(origin, segment)
-
-    def _return(self, origin: str, refusal: Refusal, segment: Segment) -> Send:
-        self.returned += 1
-        self._tell_event(
+            self._admission.end_handshake(segment.key)
+        return self._send_to_target(balancer, segment, now)
+
+    def _deliver_syn(
+        self, balancer: str, segment: Segment, max_requests: int, now: float
+    ) -> SendMessage | SendToTarget:
+        if rejection := self._admission.find_rejection(
+            balancer, segment.key, max_requests, now
+        ):
+            return self._reject(balancer, rejection, segment)
+        self._admission.start_handshake(segment.key, now)
+        self.flow_table.find_or_add(segment.key, now).record_syn(segment.sequence, now)
+        return self._send_to_target(balancer, segment, now)
+
+    def _send_to_target(
+        self, balancer: str, segment: Segment, now: float
+    ) -> SendToTarget:
+        self.flow_table.find_or_add(segment.key, now).record_caller_segment(
+            balancer, segment, now
+        )
+        self.delivered_count += 1
+        return SendToTarget(balancer, segment)
+
+    def _reject(
+        self, balancer: str, rejection: Rejection, segment: Segment
+    ) -> SendMessage:
+        self.rejected_count += 1
+        self._log_event(
             "packet_sent_back",
             flow=segment.key.hex(),
-            peer=origin,
-            reason=refusal.reason.name,
+            peer=balancer,
+            reason=rejection.reason.name,
             state=self.state.name,
-            opens=segment.opens,
+            opens=segment.is_syn,
+        )
+        retry_after_ms = ceil(1000 * rejection.retry_after)
+        message = RejectedPacket(
+            rejection.reason, segment.packet, rejection.active_requests, retry_after_ms
         )
-        wait_ms = ceil(1000 * refusal.wait)
-        message = Returned(refusal.reason, segment.raw, refusal.load, wait_ms)
-        return Send(origin, message)
-
-    # The way out.
-
-    def take_outward(self, segment: Segment, now: float) -> list[Action]:
-        """Take a packet that the target sent."""
-        if segment.returned:
-            return [self._take_bounced(segment)]
-        flow = self.held.find_or_add(segment.key, now)
-        self.requests.note_outward(segment, now)
-        if segment.resets and not flow.is_proved:
-            return self._take_unproved_reset(segment, flow)
-        flow.note_outward(segment, now)
-        if not self._probed.is_open(segment.key):
-            return [ToCaller(segment)]
-        told = self._probed.settle(segment.key, flow.is_proved)
-        # A target also acknowledges the end of a flow that it held before, of the same
-        # caller and port: such a packet is neither proof nor of use to the caller.
-        return [ToCaller(segment), told] if flow.is_proved else [told]
-
-    def _take_bounced(self, segment: Segment) -> Action:
-        """Take back a caller's packet that the target does not hold, or cannot take."""
-        flow = self.held.find(segment.key)
-        self._intake.end(segment.key)
-        if flow is not None and (not flow.is_answered or not segment.opens):
-            self.held.drop(segment.key, Denial.BOUNCED)
-            self.requests.end(segment.key)
-        if self._probed.is_open(segment.key):
-            return self._probed.settle(segment.key, is_held=False)
-        origin = ".".join(str(part) for part in segment.origin)
-        return self._return(origin, Refusal(Reason.BOUNCED), segment)
-
-    def _take_unproved_reset(self, segment: Segment, flow: HeldFlow) -> list[Action]:
-        """Take a target's reset of a flow that may be open elsewhere.
+        return SendMessage(balancer, message)
+
+    # Packets from the target.
+
+    def handle_target_packet(self, segment: Segment, now: float) -> list[Action]:
+        """Handle a packet that the target sent."""
+        if segment.is_bounced:
+            return [self._handle_bounced(segment)]
+        flow = self.flow_table.find_or_add(segment.key, now)
+        self.request_tracker.record_target_segment(segment, now)
+        if segment.is_rst and not flow.is_confirmed:
+            return self._handle_unconfirmed_reset(segment, flow)
+        flow.record_target_segment(segment, now)
+        if not self._probes.is_pending(segment.key):
+            return [SendToCaller(segment)]
+        answer = self._probes.resolve(segment.key, flow.is_confirmed)
+        # A target also acknowledges the FIN of an earlier flow of the same caller and
+        # port. Such a packet does not show that it holds the flow, and is of no use to
+        # the caller.
+        return [SendToCaller(segment), answer] if flow.is_confirmed else [answer]
+
+    def _handle_bounced(self, segment: Segment) -> Action:
+        """Handle a caller's packet that the target bounced: no such flow, or full."""
+        flow = self.flow_table.find(segment.key)
+        self._admission.end_handshake(segment.key)
+        if flow is not None and (not flow.has_target_sent or not segment.is_syn):
+            self.flow_table.drop(segment.key, DenialReason.BOUNCED)
+            self.request_tracker.remove_flow(segment.key)
+        if self._probes.is_pending(segment.key):
+            return self._probes.resolve(segment.key, is_held=False)
+        balancer = ".".join(str(part) for part in segment.balancer)
+        return self._reject(balancer, Rejection(RejectReason.BOUNCED), segment)
+
+    def _handle_unconfirmed_reset(
+        self, segment: Segment, flow: TrackedFlow
+    ) -> list[Action]:
+        """Handle a target's reset of a flow that may be open at another target.
 
         A target resets packets of flows that it held before. One that a search probed,
-        or that got a packet by a stale word, may never have held the caller's present
-        flow: handed on, the reset breaks that flow at the target that holds it. So it
-        counts as a packet sent back, and the caller hears from the balancer that asks
-        all others.
+        or that got a packet because of outdated information, may never have held the
+        caller's current flow: the reset, passed on, would break that flow at the target
+        that holds it. So the caller's packet is rejected instead, and the balancer
+        queries all other agents before it resets the flow.
         """
-        self.held.drop(segment.key, Denial.RESET)
-        self._intake.end(segment.key)
-        self._tell_event("reset_kept_back", flow=segment.key.hex())
-        if self._probed.is_open(segment.key):
-            return [self._probed.settle(segment.key, is_held=False)]
-        if flow.asked is None:
+        self.flow_table.drop(segment.key, DenialReason.RESET)
+        self._admission.end_handshake(segment.key)
+        self._log_event("reset_kept_back", flow=segment.key.hex())
+        if self._probes.is_pending(segment.key):
+            return [self._probes.resolve(segment.key, is_held=False)]
+        if flow.unconfirmed is None:
             return []
-        reason = Reason.BOUNCED if flow.asked.opens else Reason.NOT_HELD
-        return [self._return(flow.origin, Refusal(reason), flow.asked)]
+        reason = (
+            RejectReason.BOUNCED if flow.unconfirmed.is_syn else RejectReason.NOT_HELD
+        )
+        return [self._reject(flow.balancer, Rejection(reason), flow.unconfirmed)]
 
-    # Answers to searches.
+    # Queries and probes of searches.
 
-    def tell(self, message: Ask, now: float) -> Told:
+    def answer_query(self, query: FlowQuery, now: float) -> FlowAnswer:
         """Answer whether the target holds a flow."""
-        answer = self.held.answer(message, self.target, now)
+        answer = self.flow_table.answer(query, self.target, now)
         if answer == Answer.NOT_HELD:
-            self._log_denial(message.key, message.acknowledgement, "-")
-        return Told(message.key, answer)
+            self._log_denial(query.key, query.acknowledgement, "-")
+        return FlowAnswer(query.key, answer)
 
-    def take_probe(
-        self, origin: str, message: Probe, segment: Segment, now: float
+    def handle_probe(
+        self, requester: str, probe: Probe, segment: Segment, now: float
     ) -> Action:
-        """Take a packet that tells whether the target holds its flow.
+        """Handle a packet that shows whether the target holds its flow.
 
-        It is not counted as a request: after a power loss each of a hundred flows is
-        probed at each target, and all would look full.
+        ``requester`` is the agent that relayed the probe. The packet does not count as
+        a request: after a power loss each of a hundred flows is probed at every target,
+        and all targets would look full.
         """
-        question = Ask(segment.key, segment.acknowledgement)
-        answer = self.held.answer(question, self.target, now)
+        query = FlowQuery(segment.key, segment.acknowledgement)
+        answer = self.flow_table.answer(query, self.target, now)
         if answer in (Answer.HELD, Answer.NOT_HELD):
-            return Send(origin, Told(segment.key, answer))
-        deliver = Deliver(message.tag, message.packet)
-        action = self._take(origin, deliver, segment, now)
-        if isinstance(action, Send):
-            return Send(origin, Told(segment.key, Answer.NOT_HELD))
-        self._probed.begin(segment.key, origin, now)
+            return SendMessage(requester, FlowAnswer(segment.key, answer))
+        message = Deliver(probe.service_tag, probe.packet)
+        action = self._deliver(requester, message, segment, now)
+        if isinstance(action, SendMessage):
+            return SendMessage(requester, FlowAnswer(segment.key, Answer.NOT_HELD))
+        self._probes.start(segment.key, requester, now)
         return action
 
-    # How loaded the target is.
+    # Load of the target.
 
     def count_load(self, now: float) -> int:
-        """Return the requests at the target and the flows that have just opened."""
-        return self._intake.count_load(now)
+        """Return the requests at the target plus the handshakes in progress."""
+        return self._admission.count_load(now)
 
-    def take_waiting(self, now: float) -> str | None:
-        """Return the balancer to tell of a free slot, None when no one waits for it."""
-        return self._intake.take_waiting(now)
+    def pop_waiting_balancer(self, now: float) -> str | None:
+        """Return the balancer to notify of a free slot, None when none waits."""
+        return self._admission.pop_waiting_balancer(now)
 
     def _find_quota(self) -> int | None:
-        """Return how many new flows a cold target may get in a second, None for any."""
-        rate = self.routes.cold_rates.get(self.service, 0.0)
-        return compute_quota(rate, self._cold_overage, self._cold_slack)
+        """Return how many new flows a second the target may get while it warms up."""
+        rate = self.routes.warmup_rates.get(self.service, 0.0)
+        return compute_quota(rate, self._warmup_overage, self._warmup_slack)
 
     def _find_timeout(self, key: bytes) -> float:
         """Return for how many seconds the caller of a flow waits for an answer."""
         route = self.routes.find(key[6:])
-        return UNANSWERED_SECONDS if route is None else route.timeout / 1000
+        return UNANSWERED_SECONDS if route is None else route.timeout_ms / 1000
 
     def _log_denial(self, key: bytes, acknowledgement: int, peer: str) -> None:
-        """Log why a flow is denied that the target was seen to hold."""
-        fields = self.held.describe_denial(key, acknowledgement)
+        """Log why the agent denies a flow that it has seen open."""
+        fields = self.flow_table.describe_denial(key, acknowledgement)
         if fields is not None:
-            self._tell_event("open_flow_denied", peer=peer, **fields)
+            self._log_event("open_flow_denied", peer=peer, **fields)
 
-    # What is forgotten.
+    # Loss of the target.
 
-    def _replace(self, now: float) -> None:
-        former, flows = self.present, len(self.flows)
-        unsure = self.held.replace(self.target.find_sure_until(), now)
-        self._tell_event(
-            "target_replaced", target=former.name, flows=flows, unsure=unsure
+    def _replace_incarnation(self, now: float) -> None:
+        previous, flows = self.current_heartbeat, len(self.flows)
+        uncertain = self.flow_table.drop_previous_incarnation(
+            self.target.compute_certain_until(), now
+        )
+        self._log_event(
+            "target_replaced", target=previous.name, flows=flows, unsure=uncertain
         )
-        self._intake.clear()
-        self.requests.clear()
-        self.requests.forget_target()
+        self._admission.clear()
+        self.request_tracker.clear()
+        self.request_tracker.reset_statistics()
 
     def _drop_flows(self) -> None:
-        self.held.drop_all(Denial.LEFT)
-        self._intake.clear()
-        self.requests.clear()
+        self.flow_table.drop_all(DenialReason.LEFT)
+        self._admission.clear()
+        self.request_tracker.clear()
--- a/ibisshunt/coordination/forwarding/counters.py
+++ b/ibisshunt/coordination/forwarding/counters.py
@@ -1,10 +1,14 @@
-"""Count what a balancer has decided."""
+"""Count the decisions of a balancer."""
 
 import msgspec
 
 
 class Counters(msgspec.Struct):
-    """Count what happened since the start."""
+    """Numbers of decisions since the start of the balancer.
+
+    ``placed``, ``refused`` and ``unroutable`` count new flows, ``searched``, ``found``
+    and ``reset`` searches for open flows, ``returned`` packets that agents rejected.
+    """
 
     placed: int = 0
     refused: int = 0
--- /dev/null
+++ b/ibisshunt/coordination/forwarding/failure_detection/__init__.py
@@ -0,0 +1,1 @@
+"""Detect agents that have failed or are cut off."""
--- a/ibisshunt/coordination/forwarding/holding/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Keep, at an agent, its target and the flows and requests there."""
--- a/ibisshunt/coordination/forwarding/messages.py
+++ b/ibisshunt/coordination/forwarding/messages.py
@@ -1,4 +1,4 @@
-"""Name what balancers and agents tell each other, and what they ask of their tasks."""
+"""Define the messages between nodes, and the actions that tasks carry out."""
 
 from enum import IntEnum
 from typing import Annotated
@@ -7,16 +7,17 @@
 
 from .segment import Segment
 
-# Numbers that count something: a message with another one is refused when it is read.
-Count = Annotated[int, msgspec.Meta(ge=0)]
+# Integers from 0 on: decoding rejects a message with a negative one.
+NonNegative = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class TargetState(IntEnum):
-    """Tell what a target's agent says of it.
+    """State of a target as its agent reports it.
 
-    ABSENT: the agent has not heard its target since it started, or no longer.
-    PAUSED: the agent is restarting; the target and its flows live on. DEAD: the target
-    has missed its heartbeats, and its agent knows no flow of it.
+    GONE: the target has sent a leave message, or its agent stops after heartbeats were
+    missing. ABSENT: the agent has received no heartbeat since its start, or they have
+    stopped. PAUSED: the agent is restarting; the target and its flows go on. DEAD:
+    heartbeats are missing, and the agent knows no flow of the target.
     """
 
     OPEN = 0
@@ -28,11 +29,12 @@
 
 
 class Answer(IntEnum):
-    """Tell whether a target holds a flow.
+    """Answer to the question whether a target holds a flow.
 
-    MAYBE: its agent started after it. UNHEARD: its agent has not even heard it since;
-    there may be no target at all. KEPT: held, and the target has the packet that it was
-    probed with. SILENT: no answer has come; told by who gathers answers.
+    MAYBE: the agent started after its target and may not have seen the flow. UNHEARD:
+    the agent has also received no heartbeat since its start; there may be no target.
+    KEPT: held, and the target has accepted the packet that it was probed with. SILENT:
+    no answer has arrived; set by the agent that aggregates the answers.
     """
 
     HELD = 0
@@ -43,11 +45,14 @@
     SILENT = 5
 
 
-class Reason(IntEnum):
-    """Tell why an agent sent a packet back.
+class RejectReason(IntEnum):
+    """Reason why an agent rejected a packet.
 
-    DRAINED: the target's failure domain is drained. COLD: the target is cold and has
-    got all the new flows that it may get in this second.
+    BOUNCED: the target bounced it. NOT_HELD: the target does not hold its flow.
+    NOT_OPEN: the target accepts no new flows. OTHER_SERVICE: the target is of another
+    service. FULL: too many requests are at the target. DRAINED: the target's failure
+    domain is drained. COLD: the target is warming up, and has got all the new flows
+    that it may get within this second.
     """
 
     BOUNCED = 0
@@ -59,68 +64,70 @@
     COLD = 6
 
 
-# Flows in one message between nodes: what fits a packet of usual size.
+# Most flows in one message between nodes, so that it fits a packet of usual size.
 FLOWS_PER_MESSAGE = 40
-# A load that no target has, in requests.
+# A number of requests that no target reaches: stands for no limit.
 NO_LIMIT = 1 << 30
 
 
 class Status(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """Tell balancers about one target.
-
-    ``start`` and ``number`` order the statuses of one address: ``start`` is the
-    agent's start by its host's clock, in milliseconds, ``number`` grows. ``active`` are
-    the requests at work or waiting and the flows that have just opened. ``service_us``
-    is the mean time of service in microseconds, 0 when unknown; ``warm_left`` is in
-    milliseconds, counted from the sending; ``version`` is the agent's configuration.
-    ``failing`` is which share of the last requests failed, in percent. ``incarnation``
-    is the tag of the target's incarnation, 0 while the agent has not heard it.
+    """Report the state of one target to the balancers.
+
+    ``agent_start_ms`` and ``sequence`` order the statuses of one address: the first is
+    the agent's start by its host's clock, the second grows while it runs.
+    ``active_requests`` counts the requests that the target serves or queues and the
+    handshakes in progress, ``flows`` the flows that the agent has seen.
+    ``mean_service_us`` is the mean service time, 0 when unknown; ``warmup_left_ms`` the
+    rest of the target's warm-up when the status was sent; ``configuration_version``
+    that of the agent; ``failure_percent`` how many of the latest requests failed.
+    ``incarnation`` is the id of the target's incarnation, 0 while the agent has
+    received no heartbeat.
     """
 
-    start: Count
-    number: Count
+    agent_start_ms: NonNegative
+    sequence: NonNegative
     service: str
     state: TargetState
     slots: Annotated[int, msgspec.Meta(ge=1)]
-    active: Count
-    flows: Count
-    service_us: Count
-    warm_left: Count
-    version: Count
-    failing: Count = 0
-    incarnation: Count = 0
+    active_requests: NonNegative
+    flows: NonNegative
+    mean_service_us: NonNegative
+    warmup_left_ms: NonNegative
+    configuration_version: NonNegative
+    failure_percent: NonNegative = 0
+    incarnation: NonNegative = 0
 
 
 class Deliver(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """Ask an agent to hand a packet to its target, of the service ``tag``.
+    """Ask an agent to deliver a packet to its target, of the service ``service_tag``.
 
-    ``limit`` is how many requests may be there for an opening packet to be handed
-    over; NO_LIMIT asks the agent to leave it to the target.
+    ``max_requests`` is how many requests may be at the target for a SYN to be
+    delivered; with NO_LIMIT the target itself decides.
     """
 
-    tag: int
+    service_tag: int
     packet: bytes
-    limit: Count = NO_LIMIT
+    max_requests: NonNegative = NO_LIMIT
 
 
-class Returned(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """Send a packet back to the balancer it came from.
+class RejectedPacket(msgspec.Struct, frozen=True, array_like=True, tag="r"):
+    """Return an undelivered packet to its balancer.
 
-    ``load`` is how many requests are at the target now, ``wait_ms`` for how many
-    milliseconds it takes no new flow.
+    ``active_requests`` is how many requests are at the target now, ``retry_after_ms``
+    for how many milliseconds it accepts no new flow.
     """
 
-    reason: Reason
+    reason: RejectReason
     packet: bytes
-    load: Count = 0
-    wait_ms: Count = 0
+    active_requests: NonNegative = 0
+    retry_after_ms: NonNegative = 0
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Ask an agent whether its target holds a flow, of whatever service.
+class FlowQuery(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+    """Ask an agent whether its target, of any service, holds a flow.
 
-    ``acknowledgement`` is the caller's: it tells targets apart that both answered one
-    opening packet.
+    ``acknowledgement`` is the caller's acknowledgement number. It tells targets apart
+    that have both answered a SYN of this flow.
     """
 
     key: bytes
@@ -128,123 +135,134 @@
 
 
 class Probe(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """Hand a packet to a target of the service ``tag`` to learn whether it holds it.
+    """Deliver a packet to a target of ``service_tag`` to see if it holds the flow.
 
-    The answer is Told, as to Ask: not held when the target sent the packet back, which
-    itself need not come back, since the balancer keeps it; held when the target
-    answered the caller. A target that takes a packet may also answer nothing for a
-    while.
+    The answer is FlowAnswer, as to FlowQuery: not held when the target bounces the
+    packet, which need not be returned because the balancer keeps it; held when the
+    target answers the caller. A target that accepts a packet may also send nothing for
+    a while.
     """
 
-    tag: int
+    service_tag: int
     packet: bytes
 
 
-class Relay(msgspec.Struct, frozen=True, array_like=True, tag="y"):
-    """Ask an agent to send a question on to other agents and to gather the answers.
+class RelayRequest(msgspec.Struct, frozen=True, array_like=True, tag="y"):
+    """Ask an agent to relay a query to other agents and to aggregate their answers.
 
-    Entry hosts have thin links and agents have not: one copy leaves the balancer, and
-    one answer comes back, instead of one for each agent. ``to`` holds the addresses,
-    four bytes each; ``number`` names the round to the balancer.
+    Hosts of balancers have links of low bandwidth, those of agents do not: only one
+    copy leaves the balancer and one answer returns, instead of one for each agent.
+    ``agents`` holds their addresses, four bytes each; ``round_id`` identifies the round
+    to the balancer.
     """
 
-    to: bytes
-    question: Ask | Probe
-    number: int
+    agents: bytes
+    query: FlowQuery | Probe
+    round_id: int
 
 
-class OnBehalf(msgspec.Struct, frozen=True, array_like=True, tag="z"):
-    """Bring a relayed question; the answer goes to the agent that brought it."""
+class RelayedQuery(msgspec.Struct, frozen=True, array_like=True, tag="z"):
+    """Relay a query to an agent; the answer returns to the relaying agent."""
 
-    question: Ask | Probe
+    query: FlowQuery | Probe
 
 
-class Gathered(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """Bring what the agents of a round answered about a flow.
+class AggregatedAnswers(msgspec.Struct, frozen=True, array_like=True, tag="g"):
+    """Report to a balancer what the agents of a round answered about a flow.
 
-    ``told`` gives, for an answer, the addresses of those that gave it, four bytes
-    each; all others of the round ``number`` gave the answer ``rest``.
+    ``overrides`` lists answers with the addresses of the agents that gave them, four
+    bytes each; all other agents of the round gave ``default_answer``.
     """
 
     key: bytes
-    number: int
-    rest: Answer
-    told: tuple[tuple[Answer, bytes], ...] = ()
+    round_id: int
+    default_answer: Answer
+    overrides: tuple[tuple[Answer, bytes], ...] = ()
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """Answer OnBehalf."""
+class FlowAnswer(msgspec.Struct, frozen=True, array_like=True, tag="t"):
+    """Answer a relayed query."""
 
     key: bytes
     answer: Answer
 
 
-class Seek(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    """Ask a balancer of the same failure domain where a flow is."""
+class LocationQuery(msgspec.Struct, frozen=True, array_like=True, tag="k"):
+    """Ask a balancer of the same failure domain which target holds a flow."""
 
     key: bytes
 
 
-class Known(msgspec.Struct, frozen=True, array_like=True, tag="o"):
-    """Tell a balancer where flows are: keys, and the addresses of their targets."""
+class FlowLocations(msgspec.Struct, frozen=True, array_like=True, tag="o"):
+    """Inform a balancer which targets hold flows, by flow key and target address."""
 
     flows: tuple[tuple[bytes, str], ...]
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """Ask an agent for a Pong of the same number, to learn whether it is there."""
+    """Ask an agent for a Pong of the same sequence, to detect its failure."""
 
-    number: int
+    sequence: int
 
 
 class Pong(msgspec.Struct, frozen=True, array_like=True, tag="u"):
     """Answer Ping."""
 
-    number: int
+    sequence: int
 
 
-class Noted(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """Bring a control host a balancer's flow entries, for the balancer's next run."""
+class CheckpointEntries(msgspec.Struct, frozen=True, array_like=True, tag="c"):
+    """Store a balancer's checkpoint at a control host, for the balancer's next run."""
 
     entries: bytes
 
 
-class Recall(msgspec.Struct, frozen=True, array_like=True, tag="e"):
-    """Ask a control host for what the sender's former run noted, from ``first`` on."""
+class RecoveryRequest(msgspec.Struct, frozen=True, array_like=True, tag="e"):
+    """Ask a control host for the sender's checkpoint, from entry ``offset`` on."""
 
-    first: Count
+    offset: NonNegative
 
 
-class Recalled(msgspec.Struct, frozen=True, array_like=True, tag="m"):
-    """Answer Recall with the entries from ``first`` on, of ``total``."""
+class RecoveryReply(msgspec.Struct, frozen=True, array_like=True, tag="m"):
+    """Return the checkpoint entries from ``offset`` on, of ``total``."""
 
-    first: Count
-    total: Count
+    offset: NonNegative
+    total: NonNegative
     entries: bytes
 
 
-class Reset(msgspec.Struct, frozen=True):
-    """Ask the task to reset the flow of a caller's segment."""
+class ResetFlow(msgspec.Struct, frozen=True):
+    """Action: reset the flow of a caller's segment."""
 
     segment: Segment
     reason: str
 
 
-class Send(msgspec.Struct, frozen=True):
-    """Ask the task to send a message to the node at ``peer``, an IPv4 address."""
+class SendMessage(msgspec.Struct, frozen=True):
+    """Action: send a message to the node at ``peer``, an IPv4 address."""
 
     peer: str
-    message: Deliver | Returned | Relay | Told | Gathered | Status | Seek | Known | Ping
-
-
-class ToTarget(msgspec.Struct, frozen=True):
-    """Ask the task to hand a packet to the target, marked with its origin."""
-
-    origin: str
+    message: (
+        Deliver
+        | RejectedPacket
+        | RelayRequest
+        | FlowAnswer
+        | AggregatedAnswers
+        | Status
+        | LocationQuery
+        | FlowLocations
+        | Ping
+    )
+
+
+class SendToTarget(msgspec.Struct, frozen=True):
+    """Action: send a packet to the target, marked with its balancer's address."""
+
+    balancer: str
     segment: Segment
 
 
-class ToCaller(msgspec.Struct, frozen=True):
-    """Ask the task to send a packet to the caller."""
+class SendToCaller(msgspec.Struct, frozen=True):
+    """Action: send a packet to the caller."""
 
     segment: Segment
--- /dev/null
+++ b/ibisshunt/coordination/forwarding/placement/__init__.py
@@ -0,0 +1,1 @@
+"""Decide which target a new flow goes to, and whether it is queued or rejected."""
--- a/ibisshunt/coordination/forwarding/placing/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Decide which target a new flow goes to, what waits and what is refused."""
--- /dev/null
+++ b/ibisshunt/coordination/forwarding/recovery/__init__.py
@@ -0,0 +1,1 @@
+"""Recover flows after restarts, and reset those whose targets have ended."""
--- a/ibisshunt/coordination/forwarding/restart/archive.py
+++ b/ibisshunt/coordination/forwarding/recovery/archive.py
@@ -1,10 +1,10 @@
-"""Keep, on a control host, the open flows that balancers note for their next run."""
+"""Store, on a control host, the checkpoint entries of balancers for their next run."""
 
 from collections import deque
 from collections.abc import Iterable
 
 from ..addresses import ADDRESS_BYTES, pack_address, unpack_address
-from ..messages import Recalled
+from ..messages import RecoveryReply
 from .checkpoint import (
     ENDED,
     ENTRIES_PER_MESSAGE,
@@ -18,34 +18,34 @@
 # of a flow, so that three of them hold each open flow.
 GENERATION_SECONDS = 30.0
 GENERATIONS = 3
-# Messages for one question, as many as a thin link takes at once.
-WINDOW = 8
-# Flows that are taken in one generation, of all balancers. What is above is not noted,
-# and its callers hear of an end when they use their flows.
-MAX_ENTRIES = 35_000
+# Reply messages for one request: as many as a link of low bandwidth takes at once.
+WINDOW_MESSAGES = 8
+# Entries accepted in one generation from all balancers. Entries above it are dropped;
+# callers of these flows are reset when they use them.
+MAX_GENERATION_ENTRIES = 35_000
 
 
 class FlowArchive:
-    """Own the entries of all balancers, by generation; times are in seconds.
+    """Checkpoint entries of all balancers, by generation; times are in seconds.
 
-    ``former`` holds the batches of each generation of the former run, oldest first.
+    ``previous`` holds the batches of each generation of the previous run, oldest first.
     """
 
     def __init__(
-        self, now: float = 0.0, former: Iterable[Iterable[bytes]] = ()
+        self, now: float = 0.0, previous: Iterable[Iterable[bytes]] = ()
     ) -> None:
         self._generations: deque[dict[str, dict[bytes, FlowEntry]]] = deque(
             maxlen=GENERATIONS
         )
-        for batches in former:
+        for batches in previous:
             self._generations.append({})
             for batch in batches:
                 self._apply(batch)
         self._generations.append({})
         self._rotate_at = now + GENERATION_SECONDS
-        self._taken = 0
+        self._entry_count = 0
         self._unsaved: list[bytes] = []
-        self._recalled: dict[str, list[FlowEntry]] = {}
+        self._recoverable: dict[str, list[FlowEntry]] = {}
 
     def __len__(self) -> int:
         return sum(
@@ -54,46 +54,46 @@
             for entries in generation.values()
         )
 
-    def take(self, balancer: str, entries: bytes) -> None:
-        """Take the entries of a balancer."""
-        self._taken += len(entries) // ENTRY_BYTES
-        if self._taken > MAX_ENTRIES:
+    def add_entries(self, balancer: str, entries: bytes) -> None:
+        """Add the entries of a balancer."""
+        self._entry_count += len(entries) // ENTRY_BYTES
+        if self._entry_count > MAX_GENERATION_ENTRIES:
             return
         batch = pack_address(balancer) + entries
         self._apply(batch)
         self._unsaved.append(batch)
 
-    def take_unsaved(self) -> list[bytes]:
+    def pop_unsaved(self) -> list[bytes]:
         """Return the batches that are not on disk yet."""
         unsaved, self._unsaved = self._unsaved, []
         return unsaved
 
     def rotate(self, now: float) -> bool:
-        """Begin another generation when it is time to; return whether it was."""
+        """Start another generation if it is due; return whether it was."""
         if now < self._rotate_at:
             return False
         self._rotate_at = now + GENERATION_SECONDS
         self._generations.append({})
-        self._taken = 0
-        self._recalled.clear()
+        self._entry_count = 0
+        self._recoverable.clear()
         return True
 
-    def recall(self, balancer: str, first: int) -> list[Recalled]:
-        """Return the messages of one window, from entry ``first`` on."""
-        if first == 0 or balancer not in self._recalled:
-            self._recalled[balancer] = self._list_open(balancer)
-        found = self._recalled[balancer]
-        end = min(len(found), first + WINDOW * ENTRIES_PER_MESSAGE)
-        starts = range(first, end, ENTRIES_PER_MESSAGE)
+    def make_replies(self, balancer: str, offset: int) -> list[RecoveryReply]:
+        """Return the messages of one window, from entry ``offset`` on."""
+        if offset == 0 or balancer not in self._recoverable:
+            self._recoverable[balancer] = self._list_open_flows(balancer)
+        open_flows = self._recoverable[balancer]
+        end = min(len(open_flows), offset + WINDOW_MESSAGES * ENTRIES_PER_MESSAGE)
+        starts = range(offset, end, ENTRIES_PER_MESSAGE)
         messages = [
-            Recalled(
+            RecoveryReply(
                 start,
-                len(found),
-                pack_entries(found[start : min(end, start + ENTRIES_PER_MESSAGE)]),
+                len(open_flows),
+                pack_entries(open_flows[start : min(end, start + ENTRIES_PER_MESSAGE)]),
             )
             for start in starts
         ]
-        return messages or [Recalled(first, len(found), b"")]
+        return messages or [RecoveryReply(offset, len(open_flows), b"")]
 
     def _apply(self, batch: bytes) -> None:
         balancer = unpack_address(batch[:ADDRESS_BYTES])
@@ -101,7 +101,7 @@
         for entry in unpack_entries(batch[ADDRESS_BYTES:]):
             entries[entry.key] = entry
 
-    def _list_open(self, balancer: str) -> list[FlowEntry]:
+    def _list_open_flows(self, balancer: str) -> list[FlowEntry]:
         latest: dict[bytes, FlowEntry] = {}
         for generation in self._generations:
             latest.update(generation.get(balancer, {}))
--- a/ibisshunt/coordination/forwarding/restart/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Keep flows over restarts, and tell callers of those that are over."""
--- a/ibisshunt/coordination/forwarding/segment.py
+++ b/ibisshunt/coordination/forwarding/segment.py
@@ -1,4 +1,4 @@
-"""Describe one packet of a flow, apart from its format."""
+"""Describe one packet of a flow, independent of its format."""
 
 import msgspec
 
@@ -6,37 +6,39 @@
 
 
 class Segment(msgspec.Struct, frozen=True):
-    """Hold the fields of a packet that decisions rest on.
+    """The fields of a packet that decisions depend on.
 
-    ``key`` names the flow in both directions: the caller's address and port, then the
-    service's. ``raw`` is the packet as it travels. ``waited`` is for how many seconds
-    the caller had waited when it sent this copy of an opening packet.
+    ``key`` identifies the flow in both directions: the caller's address and port, then
+    the VIP, twelve bytes. ``packet`` is the whole packet on the wire. ``is_bounced``
+    tells that a target bounced the packet, and ``balancer`` is then the address of the
+    balancer that sent it, four bytes. ``syn_age`` is, for a copy of a SYN, how many
+    seconds after the first SYN the caller sent it.
     """
 
     key: bytes
-    raw: bytes
+    packet: bytes
     data: bytes
     sequence: int
     acknowledgement: int
-    opens: bool = False
-    acknowledges: bool = False
-    finishes: bool = False
-    resets: bool = False
-    returned: bool = False
-    origin: bytes = b""
-    waited: float = 0.0
+    is_syn: bool = False
+    is_ack: bool = False
+    is_fin: bool = False
+    is_rst: bool = False
+    is_bounced: bool = False
+    balancer: bytes = b""
+    syn_age: float = 0.0
 
     @property
-    def place(self) -> bytes:
-        """Return the service's address and port, six bytes."""
+    def vip(self) -> bytes:
+        """Return the VIP, the service's virtual address and port, six bytes."""
         return self.key[6:]
 
 
-def lies_between(first: int, number: int, last: int) -> bool:
-    """Tell whether a number lies in a span of the sequence space, ends included."""
+def is_sequence_between(first: int, number: int, last: int) -> bool:
+    """Return whether a sequence number is in a range, both ends included."""
     return (number - first) % SEQUENCE_SPACE <= (last - first) % SEQUENCE_SPACE
 
 
-def is_later(number: int, known: int) -> bool:
-    """Tell whether a number comes after another, by the shorter way round."""
-    return 0 < (number - known) % SEQUENCE_SPACE < SEQUENCE_SPACE // 2
+def is_sequence_after(number: int, other: int) -> bool:
+    """Return whether a sequence number is after another one, modulo 2^32."""
+    return 0 < (number - other) % SEQUENCE_SPACE < SEQUENCE_SPACE // 2
--- a/ibisshunt/coordination/forwarding/silence/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Tell soon which agents have fallen silent."""
--- /dev/null
+++ b/ibisshunt/coordination/forwarding/target_tracking/__init__.py
@@ -0,0 +1,1 @@
+"""Track, at an agent, its local target and the target's flows and requests."""
--- a/ibisshunt/coordination/membership/__init__.py
+++ b/ibisshunt/coordination/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which targets take part."""
+"""Keep the leases of targets and derive their states."""
--- a/ibisshunt/coordination/records/__init__.py
+++ b/ibisshunt/coordination/records/__init__.py
@@ -1,1 +1,1 @@
-"""Decide whether a change of a record is accepted."""
+"""Validate and apply changes of records, deterministically on every host."""
--- a/ibisshunt/coordination/records/changes.py
+++ b/ibisshunt/coordination/records/changes.py
@@ -1,4 +1,4 @@
-"""Decide whether one change of a record is accepted."""
+"""Validate one change of a record and apply it to a record set."""
 
 from collections.abc import Callable, Collection
 from dataclasses import replace
@@ -14,115 +14,123 @@
     Service,
 )
 from .commands import ChangeRecords, ChangeResult, RecordChange, decode_body
-from .draft import Draft, RecordKey, StoredRecord, listen_key
+from .record_set import RecordKey, RecordSet, StoredRecord, make_listener_key
 
 CountTargets = Callable[[str, str], int]
 
-# Only the administrator may change how much a business is allowed.
-ADMIN_KINDS = (RecordKind.BUSINESS, RecordKind.GRANT, RecordKind.EVACUATION)
-# Kinds that belong to no business.
-FLEET_KINDS = (RecordKind.BUSINESS, RecordKind.EVACUATION)
+# Only the administrator may change what a business is allowed to do.
+ADMIN_ONLY_KINDS = (RecordKind.BUSINESS, RecordKind.GRANT, RecordKind.EVACUATION)
+# Kinds of records that no business owns.
+UNOWNED_KINDS = (RecordKind.BUSINESS, RecordKind.EVACUATION)
 
 
-def change_record(
-    draft: Draft,
+def apply_change(
+    record_set: RecordSet,
     change: RecordChange,
     index: int,
     count_targets: CountTargets,
     domains: Collection[str] = (),
 ) -> ChangeResult:
-    """Try one change on the draft; leave the draft as it is on an error.
+    """Apply one change to the record set, or leave the set as it is on an error.
 
-    ``domains`` are the failure domains in which there are targets.
+    ``domains`` are the failure domains that have targets.
     """
-    current = draft.find(change.kind, change.business, change.name)
-    found = current.revision if current else 0
+    current = record_set.find(change.kind, change.business, change.name)
+    revision = current.revision if current else 0
     expected = change.expected_revision
-    if expected is not None and expected != found:
-        return _refuse(change, found, f"found revision {found}, expected {expected}")
+    if expected is not None and expected != revision:
+        return _refuse(
+            change, revision, f"found revision {revision}, expected {expected}"
+        )
     if not change.body:
-        return _delete(draft, change, current, count_targets)
+        return _delete(record_set, change, current, count_targets)
     body = decode_body(change.kind, change.body)
     if isinstance(body, Evacuation) and body.name not in domains:
         known = ", ".join(sorted(domains)) or "none"
         error = f"no target is in this failure domain, expected one of: {known}"
-        return _refuse(change, found, error)
-    if error := _find_conflict(draft, change, body, current):
-        return _refuse(change, found, error)
-    return _put(draft, change, body, current, index)
+        return _refuse(change, revision, error)
+    if error := _find_conflict(record_set, change, body, current):
+        return _refuse(change, revision, error)
+    return _put(record_set, change, body, current, index)
 
 
-def find_denial(draft: Draft, command: ChangeRecords, change: RecordChange) -> str:
-    """Return why the sender may not make this change, or an empty text."""
+def find_denial(
+    record_set: RecordSet, command: ChangeRecords, change: RecordChange
+) -> str:
+    """Return why the sender may not make this change, or an empty string."""
     if command.admin:
         return ""
-    grant = draft.find_grant(command.token_hash)
+    grant = record_set.find_grant(command.token_hash)
     if grant is None:
         return "denied: the token matches no grant"
-    if change.kind in ADMIN_KINDS:
-        return f"denied: records of kind {change.kind} are the administrator's"
+    if change.kind in ADMIN_ONLY_KINDS:
+        return (
+            f"denied: only the administrator may change records of kind {change.kind}"
+        )
     if change.business != grant.business:
-        return f"denied: the token is of business {grant.business!r}"
+        return f"denied: the token belongs to business {grant.business!r}"
     return ""
 
 
 def _put(
-    draft: Draft,
+    record_set: RecordSet,
     change: RecordChange,
     body: RecordBody,
     current: Record | None,
     index: int,
 ) -> ChangeResult:
     if isinstance(body, Service):
-        body = _number_service(draft, body, current)
-    same = current is not None and current.body == body
-    if current and same and current.schema_version == change.schema_version:
+        body = _assign_service_number(record_set, body, current)
+    is_unchanged = current is not None and current.body == body
+    if current and is_unchanged and current.schema_version == change.schema_version:
         return ChangeResult(change.name, current.revision)
     record = Record(
         change.kind, change.business, change.name, change.schema_version, index, body
     )
-    draft.put(StoredRecord(record, change.document))
+    record_set.put(StoredRecord(record, change.document))
     return ChangeResult(change.name, index)
 
 
-def _number_service(draft: Draft, service: Service, current: Record | None) -> Service:
+def _assign_service_number(
+    record_set: RecordSet, service: Service, current: Record | None
+) -> Service:
     if current is not None and isinstance(current.body, Service):
         return replace(service, number=current.body.number)
-    # A number is never used twice: a packet that is still on its way under the old
-    # number would reach the targets of another service.
-    number = draft.next_service
-    draft.next_service += 1
+    # Service numbers are never reused: a delayed packet with the number of a deleted
+    # service would reach the targets of another service.
+    number = record_set.next_service_number
+    record_set.next_service_number += 1
     return replace(service, number=number)
 
 
 def _delete(
-    draft: Draft,
+    record_set: RecordSet,
     change: RecordChange,
     current: Record | None,
     count_targets: CountTargets,
 ) -> ChangeResult:
     if current is None and change.kind == RecordKind.EVACUATION:
-        # An end that is sent again, maybe by another operator, finds its work done.
+        # Ending an evacuation again, maybe by another operator, succeeds.
         return ChangeResult(change.name, 0)
     if current is None:
         return _refuse(change, 0, "does not exist")
-    if error := _find_dependent(draft, change, count_targets):
+    if error := _find_dependent(record_set, change, count_targets):
         return _refuse(change, current.revision, error)
-    draft.remove((change.kind, change.business, change.name))
+    record_set.remove((change.kind, change.business, change.name))
     return ChangeResult(change.name, 0)
 
 
 def _find_dependent(
-    draft: Draft, change: RecordChange, count_targets: CountTargets
+    record_set: RecordSet, change: RecordChange, count_targets: CountTargets
 ) -> str:
     if change.kind == RecordKind.BUSINESS:
-        return _describe_owned(draft, change)
+        return _describe_owned_records(record_set, change)
     if change.kind != RecordKind.SERVICE:
         return ""
-    # The flows of these targets would lose their route with the service.
+    # Without the service, open flows to these targets would lose their route.
     if count := count_targets(change.business, change.name):
         return f"still has {count} targets: stop them first"
-    for stored in draft.records.values():
+    for stored in record_set.records.values():
         body = stored.record.body
         if (
             isinstance(body, Drain)
@@ -133,9 +141,13 @@
     return ""
 
 
-def _describe_owned(draft: Draft, change: RecordChange) -> str:
-    own = (change.kind, change.business, change.name)
-    owned = [key for key in draft.records if key[1] == change.business and key != own]
+def _describe_owned_records(record_set: RecordSet, change: RecordChange) -> str:
+    own_key = (change.kind, change.business, change.name)
+    owned = [
+        key
+        for key in record_set.records
+        if key[1] == change.business and key != own_key
+    ]
     if not owned:
         return ""
     kind, _, name = min(owned)
@@ -143,46 +155,55 @@
 
 
 def _find_conflict(
-    draft: Draft, change: RecordChange, body: RecordBody, current: Record | None
+    record_set: RecordSet,
+    change: RecordChange,
+    body: RecordBody,
+    current: Record | None,
 ) -> str:
-    if change.kind in FLEET_KINDS:
+    if change.kind in UNOWNED_KINDS:
         return ""
-    if draft.find(RecordKind.BUSINESS, change.business, change.business) is None:
+    if record_set.find(RecordKind.BUSINESS, change.business, change.business) is None:
         return f"business {change.business!r} does not exist"
     if isinstance(body, Service):
-        return _find_listener(draft, change, body) or _find_loss(change, current)
+        return _find_listener_conflict(record_set, change, body) or _find_key_loss(
+            change, current
+        )
     if isinstance(body, Grant):
-        return _find_holder(draft, body)
+        return _find_token_conflict(record_set, body)
     if isinstance(body, Drain):
-        found = draft.find_service(change.business, body.service)
-        return "" if found else f"service {body.service!r} does not exist"
+        service = record_set.find_service(change.business, body.service)
+        return "" if service else f"service {body.service!r} does not exist"
     return ""
 
 
-def _find_listener(draft: Draft, change: RecordChange, service: Service) -> str:
-    own: RecordKey = (change.kind, change.business, change.name)
-    holder = draft.listeners.get(listen_key(service))
-    if holder is None or holder == own:
+def _find_listener_conflict(
+    record_set: RecordSet, change: RecordChange, service: Service
+) -> str:
+    own_key: RecordKey = (change.kind, change.business, change.name)
+    owner_key = record_set.keys_by_listener.get(make_listener_key(service))
+    if owner_key is None or owner_key == own_key:
         return ""
-    where = f"{service.address}:{service.port}/{service.protocol.name.lower()}"
-    # Another business's names stay its own affair.
-    who = f"service {holder[2]!r}" if holder[1] == change.business else "a service"
-    return f"key address: {where} is taken by {who} of another record"
+    listener = f"{service.address}:{service.port}/{service.protocol.name.lower()}"
+    # Do not disclose the names of another business.
+    owner = (
+        f"service {owner_key[2]!r}" if owner_key[1] == change.business else "a service"
+    )
+    return f"key address: {listener} is taken by {owner}"
 
 
-def _find_loss(change: RecordChange, current: Record | None) -> str:
+def _find_key_loss(change: RecordChange, current: Record | None) -> str:
     if change.schema_version != 1 or current is None or current.schema_version == 1:
         return ""
     if not isinstance(current.body, Service):
         return ""
-    # Version 1 has no key for these: writing it would set them back unseen.
+    # Version 1 has no keys for the request policy: the write would silently reset it.
     if current.body.requests == RequestPolicy():
         return ""
     return "version 1 would drop the key requests that version 2 set: write version 2"
 
 
-def _find_holder(draft: Draft, grant: Grant) -> str:
-    other = draft.find_grant(grant.token_hash)
+def _find_token_conflict(record_set: RecordSet, grant: Grant) -> str:
+    other = record_set.find_grant(grant.token_hash)
     if other is None or (other.business, other.name) == (grant.business, grant.name):
         return ""
     return "key token_hash: the token is in use by another grant"
--- a/ibisshunt/coordination/records/commands.py
+++ b/ibisshunt/coordination/records/commands.py
@@ -1,4 +1,4 @@
-"""Describe the commands of the replicated log and their outcomes."""
+"""Commands of the replicated log and their outcomes."""
 
 from dataclasses import dataclass
 from typing import Any, Final
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordChange:
-    """Ask for one record to be put, or deleted when ``body`` is empty.
+    """Put one record, or delete it if ``body`` is empty.
 
-    ``body`` is the checked record in MessagePack. The log holds this form beside the
-    text: hosts of two releases that read one text differently would drift apart.
+    ``body`` is the validated record in MessagePack. The log contains it in addition to
+    the text, since hosts of two releases that parse a text differently would diverge.
     """
 
     kind: RecordKind
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRecords:
-    """Ask for all changes or none, at wall-clock time ``now`` in seconds."""
+    """Apply all changes or none, at wall-clock time ``now`` in seconds."""
 
     operation: str
     token_hash: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceTarget:
-    """Tell that a target is there, at wall-clock time ``now`` in seconds."""
+    """Register a target or renew it, at wall-clock time ``now`` in seconds."""
 
     announcement: Announcement
     leaving: bool
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetChange:
-    """Give one incarnation of a target a state, or remove it when there is none."""
+    """Set the state of one incarnation of a target, or remove it if None."""
 
     business: str
     service: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeTargets:
-    """Tell which targets changed their state, in one entry of the log."""
+    """Change the states of several targets with one log entry."""
 
     changes: tuple[TargetChange, ...]
 
@@ -90,7 +90,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """Tell what became of one change; ``error`` is empty when it was accepted."""
+    """Outcome of one change; ``error`` is empty if it was accepted.
+
+    ``revision`` is that of the record afterwards, 0 if there is none.
+    """
 
     name: str
     revision: int
@@ -99,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeOutcome:
-    """Tell what became of each change, and the configuration's revision after it."""
+    """Outcomes of all changes, and the configuration's revision afterwards."""
 
     results: tuple[ChangeResult, ...]
     revision: int
@@ -107,29 +110,29 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetOutcome:
-    """Tell the incarnation of a target; ``error`` is empty when it was accepted."""
+    """Incarnation of an announced target; ``error`` is empty if it was accepted."""
 
     incarnation: int
     error: str = ""
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the command as it stands in the log."""
+    """Return the command as stored in the log."""
     return encode((type(command).__name__, command))
 
 
 def decode_command(data: bytes) -> Result[Command, Fault]:
-    """Read a command; fail for one that this release does not know."""
-    found = decode(data, tuple[str, msgspec.Raw])
-    if fault := found.swap().value_or(None):
+    """Decode a command; fail if this release does not know it."""
+    decoded = decode(data, tuple[str, msgspec.Raw])
+    if fault := decoded.swap().value_or(None):
         return Failure(fault)
-    name, raw = found.unwrap()
+    name, raw = decoded.unwrap()
     if name not in COMMAND_TYPES:
         return Failure(Fault("decode command", "", f"unknown command {name!r}"))
     return decode(bytes(raw), COMMAND_TYPES[name])
 
 
 def decode_body(kind: RecordKind, data: bytes) -> RecordBody:
-    """Return the typed record of a change."""
+    """Return the decoded record of a change."""
     body: Any = msgspec.msgpack.decode(data, type=BODY_TYPES[kind])
     return body
--- a/ibisshunt/coordination/records/history.py
+++ b/ibisshunt/coordination/records/history.py
@@ -1,4 +1,4 @@
-"""Keep the latest changes of each business."""
+"""Change history: the latest changes of each business."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,16 +6,17 @@
 
 from ...model.record import RecordKind
 from .commands import ChangeRecords
-from .draft import Draft
+from .record_set import RecordSet
 
-MAX_ENTRIES: Final = 100
+MAX_ENTRIES_PER_BUSINESS: Final = 100
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """Describe one accepted change; a text is empty when there was no record.
+class HistoryEntry:
+    """One accepted change of a record.
 
-    ``time`` is wall-clock time in seconds; ``actor`` names the grant, or "admin".
+    ``before`` and ``after`` are its documents, empty where the record did not exist.
+    ``time`` is wall-clock time in seconds; ``actor`` names the grant, or is "admin".
     """
 
     revision: int
@@ -29,18 +30,23 @@
 
 
 class History:
-    """Hold a bounded number of entries for each business, oldest first.
+    """A bounded number of entries for each business, oldest first.
 
-    The bound is for each business: a busy one must not push out what others did.
+    The bound is per business, so that a busy one does not evict the history of others.
     """
 
-    def __init__(self, entries: tuple[Entry, ...] = ()) -> None:
-        self._by_business: dict[str, deque[Entry]] = {}
+    def __init__(self, entries: tuple[HistoryEntry, ...] = ()) -> None:
+        self._by_business: dict[str, deque[HistoryEntry]] = {}
         for entry in entries:
             self._add(entry)
 
-    def note(
-        self, command: ChangeRecords, actor: str, index: int, old: Draft, new: Draft
+    def add_changes(
+        self,
+        command: ChangeRecords,
+        actor: str,
+        revision: int,
+        old: RecordSet,
+        new: RecordSet,
     ) -> None:
         """Add an entry for each record that the command changed."""
         for change in command.changes:
@@ -49,8 +55,8 @@
             if before == after:
                 continue
             self._add(
-                Entry(
-                    index,
+                HistoryEntry(
+                    revision,
                     command.now,
                     actor,
                     *key,
@@ -59,13 +65,15 @@
                 )
             )
 
-    def list_entries(self, business: str = "") -> tuple[Entry, ...]:
-        """Return the entries of one business, or of all, by revision."""
+    def list_entries(self, business: str = "") -> tuple[HistoryEntry, ...]:
+        """Return the entries of one business, or of all, ordered by revision."""
         if business:
             return tuple(self._by_business.get(business, ()))
-        entries = (entry for kept in self._by_business.values() for entry in kept)
+        entries = (entry for latest in self._by_business.values() for entry in latest)
         return tuple(sorted(entries, key=lambda entry: entry.revision))
 
-    def _add(self, entry: Entry) -> None:
-        kept = self._by_business.setdefault(entry.business, deque(maxlen=MAX_ENTRIES))
-        kept.append(entry)
+    def _add(self, entry: HistoryEntry) -> None:
+        latest = self._by_business.setdefault(
+            entry.business, deque(maxlen=MAX_ENTRIES_PER_BUSINESS)
+        )
+        latest.append(entry)
--- a/ibisshunt/coordination/records/schema.py
+++ b/ibisshunt/coordination/records/schema.py
@@ -1,4 +1,4 @@
-"""Check the fields of record documents, one schema for each version."""
+"""Schemas of record documents, one for each kind and version."""
 
 import ipaddress
 from collections.abc import Callable, Mapping
@@ -21,15 +21,15 @@
 )
 
 SCHEMA_VERSIONS: Final = (1, 2)
-MILLISECONDS: Final = 1000
+MILLISECONDS_PER_SECOND: Final = 1000
 MAX_CALLERS: Final = 1024
 MAX_NAME_CHARACTERS: Final = 63
 DEFAULT_IDLE_TIMEOUT_MS: Final = 300_000
-DAY_MS: Final = 86_400_000
+MILLISECONDS_PER_DAY: Final = 86_400_000
 
 PROTOCOLS: Final = {"tcp": Protocol.TCP, "udp": Protocol.UDP}
 
-Build = Callable[[Mapping[str, Any]], RecordBody]
+BuildBody = Callable[[Mapping[str, Any]], RecordBody]
 
 
 def check_ip(value: Any) -> str:
@@ -54,7 +54,7 @@
 
     def check(value: Any) -> Any:
         right_type = isinstance(value, int if kind is int else (int, float))
-        # True is an int in Python; nobody who writes it means the number 1.
+        # bool is a subclass of int: True must not pass as the number 1.
         if isinstance(value, bool) or not right_type or not low <= value <= high:
             raise vol.Invalid(expected)
         return kind(value)
@@ -91,32 +91,36 @@
 )
 PORT = _check_range(1, 65_535)
 SLOTS = _check_range(1, 10_000)
-CHANGES = _check_range(1, 60_000)
+CHANGES_PER_MINUTE = _check_range(1, 60_000)
 PROTOCOL = _check_choice(PROTOCOLS)
 SHARING = _check_choice({policy.value: policy for policy in SharingPolicy})
 FRONT = _check_choice({kind.value: kind for kind in FrontKind})
 
-ENVELOPE: Final = {
+COMMON_KEYS: Final = {
     vol.Required("kind"): str,
     vol.Required("schema"): int,
     vol.Optional("expected_revision"): _check_range(0, 2**63 - 1),
 }
-OWNED: Final = {**ENVELOPE, vol.Required("business"): NAME, vol.Required("name"): NAME}
+OWNED_KEYS: Final = {
+    **COMMON_KEYS,
+    vol.Required("business"): NAME,
+    vol.Required("name"): NAME,
+}
 
 BUSINESS_1 = {
-    **ENVELOPE,
+    **COMMON_KEYS,
     vol.Required("name"): NAME,
-    vol.Optional("changes_per_minute", default=60): CHANGES,
+    vol.Optional("changes_per_minute", default=60): CHANGES_PER_MINUTE,
 }
 BUSINESS_2 = {
-    **ENVELOPE,
+    **COMMON_KEYS,
     vol.Required("name"): NAME,
     vol.Optional("limits", default=dict): vol.Schema(
-        {vol.Optional("changes_per_minute", default=60): CHANGES}
+        {vol.Optional("changes_per_minute", default=60): CHANGES_PER_MINUTE}
     ),
 }
 SERVICE_1 = {
-    **OWNED,
+    **OWNED_KEYS,
     vol.Required("address"): check_ip,
     vol.Required("port"): PORT,
     vol.Required("protocol"): PROTOCOL,
@@ -127,7 +131,7 @@
     vol.Optional("idle_timeout_s", default=300): _check_range(1, 86_400),
 }
 SERVICE_2 = {
-    **OWNED,
+    **OWNED_KEYS,
     vol.Required("listen"): vol.Schema(
         {
             vol.Required("address"): check_ip,
@@ -146,7 +150,7 @@
         {
             vol.Optional(
                 "idle_timeout_ms", default=DEFAULT_IDLE_TIMEOUT_MS
-            ): _check_range(1000, DAY_MS)
+            ): _check_range(1000, MILLISECONDS_PER_DAY)
         }
     ),
     vol.Optional("front", default=dict): vol.Schema(
@@ -156,86 +160,92 @@
         {
             vol.Optional("queue_limit", default=256): _check_range(0, 100_000),
             vol.Optional("timeout_ms", default=10_000): _check_range(1, 3_600_000),
-            vol.Optional("retention_ms", default=600_000): _check_range(1000, DAY_MS),
+            vol.Optional("retention_ms", default=600_000): _check_range(
+                1000, MILLISECONDS_PER_DAY
+            ),
             vol.Optional("retry_share", default=0.1): _check_range(0, 1, float),
         }
     ),
 }
-GRANT = {**OWNED, vol.Required("token_hash"): TOKEN_HASH}
+GRANT = {**OWNED_KEYS, vol.Required("token_hash"): TOKEN_HASH}
 DRAIN = {
-    **ENVELOPE,
+    **COMMON_KEYS,
     vol.Required("business"): NAME,
     vol.Optional("name"): NAME,
     vol.Required("service"): NAME,
     vol.Required("target"): NAME,
 }
 
-EVACUATION = {**ENVELOPE, vol.Required("name"): NAME}
+EVACUATION = {**COMMON_KEYS, vol.Required("name"): NAME}
 
 
-def build_business_1(found: Mapping[str, Any]) -> Business:
-    """Return the business of a document of version 1."""
-    return Business(found["name"], found["changes_per_minute"])
+def build_business_1(document: Mapping[str, Any]) -> Business:
+    """Return the business in a document of version 1."""
+    return Business(document["name"], document["changes_per_minute"])
 
 
-def build_business_2(found: Mapping[str, Any]) -> Business:
-    """Return the business of a document of version 2."""
-    return Business(found["name"], found["limits"]["changes_per_minute"])
+def build_business_2(document: Mapping[str, Any]) -> Business:
+    """Return the business in a document of version 2."""
+    return Business(document["name"], document["limits"]["changes_per_minute"])
 
 
-def build_service_1(found: Mapping[str, Any]) -> Service:
-    """Return the service of a document of version 1; its times are in seconds."""
+def build_service_1(document: Mapping[str, Any]) -> Service:
+    """Return the service in a document of version 1, whose times are in seconds."""
     return Service(
-        business=found["business"],
-        name=found["name"],
-        address=found["address"],
-        port=found["port"],
-        protocol=found["protocol"],
-        callers=tuple(found["callers"]),
-        slots=found["slots"],
-        sharing=found["sharing"],
-        front=found["front"],
-        idle_timeout_ms=found["idle_timeout_s"] * MILLISECONDS,
+        business=document["business"],
+        name=document["name"],
+        address=document["address"],
+        port=document["port"],
+        protocol=document["protocol"],
+        callers=tuple(document["callers"]),
+        slots=document["slots"],
+        sharing=document["sharing"],
+        front=document["front"],
+        idle_timeout_ms=document["idle_timeout_s"] * MILLISECONDS_PER_SECOND,
     )
 
 
-def build_service_2(found: Mapping[str, Any]) -> Service:
-    """Return the service of a document of version 2; its times are in ms."""
+def build_service_2(document: Mapping[str, Any]) -> Service:
+    """Return the service in a document of version 2, whose times are in ms."""
     return Service(
-        business=found["business"],
-        name=found["name"],
-        **found["listen"],
-        callers=tuple(found["admission"]["callers"]),
-        slots=found["sharing"]["slots"],
-        sharing=found["sharing"]["policy"],
-        front=found["front"]["kind"],
-        idle_timeout_ms=found["flows"]["idle_timeout_ms"],
-        requests=RequestPolicy(**found["requests"]),
+        business=document["business"],
+        name=document["name"],
+        **document["listen"],
+        callers=tuple(document["admission"]["callers"]),
+        slots=document["sharing"]["slots"],
+        sharing=document["sharing"]["policy"],
+        front=document["front"]["kind"],
+        idle_timeout_ms=document["flows"]["idle_timeout_ms"],
+        requests=RequestPolicy(**document["requests"]),
     )
 
 
-def build_grant(found: Mapping[str, Any]) -> Grant:
-    """Return the grant; its form is the same in both versions."""
-    return Grant(found["name"], found["business"], found["token_hash"])
+def build_grant(document: Mapping[str, Any]) -> Grant:
+    """Return the grant in a document; both versions have the same keys."""
+    return Grant(document["name"], document["business"], document["token_hash"])
 
 
-def name_drain(service: str, target: str) -> str:
-    """Return the name of a drain that was given none."""
+def make_drain_name(service: str, target: str) -> str:
+    """Return the default name of a drain."""
     return f"{service}.{target}"[:MAX_NAME_CHARACTERS]
 
 
-def build_drain(found: Mapping[str, Any]) -> Drain:
-    """Return the drain; its form is the same in both versions."""
-    name = found.get("name") or name_drain(found["service"], found["target"])
-    return Drain(name, found["business"], found["service"], found["target"])
+def build_drain(document: Mapping[str, Any]) -> Drain:
+    """Return the drain in a document; both versions have the same keys."""
+    name = document.get("name") or make_drain_name(
+        document["service"], document["target"]
+    )
+    return Drain(name, document["business"], document["service"], document["target"])
 
 
-def build_evacuation(found: Mapping[str, Any]) -> Evacuation:
-    """Return the evacuation; its form is the same in both versions."""
-    return Evacuation(found["name"])
+def build_evacuation(document: Mapping[str, Any]) -> Evacuation:
+    """Return the evacuation in a document; both versions have the same keys."""
+    return Evacuation(document["name"])
 
 
-FORMS: Final[Mapping[tuple[RecordKind, int], tuple[vol.Schema, Build]]] = {
+DOCUMENT_SCHEMAS: Final[
+    Mapping[tuple[RecordKind, int], tuple[vol.Schema, BuildBody]]
+] = {
     (RecordKind.BUSINESS, 1): (vol.Schema(BUSINESS_1), build_business_1),
     (RecordKind.BUSINESS, 2): (vol.Schema(BUSINESS_2), build_business_2),
     (RecordKind.SERVICE, 1): (vol.Schema(SERVICE_1), build_service_1),
--- a/ibisshunt/coordination/records/snapshot.py
+++ b/ibisshunt/coordination/records/snapshot.py
@@ -1,4 +1,4 @@
-"""Turn the state of a record store into bytes and back."""
+"""Serialize the state of a record store and restore it."""
 
 from dataclasses import dataclass
 
@@ -9,16 +9,16 @@
 from ...model.record import Record, RecordKind
 from ...model.target import Target
 from ...protocol.codec import decode, encode
-from .answers import Answer, AnswerBook
 from .commands import decode_body
-from .draft import Draft, StoredRecord
-from .history import Entry, History
+from .history import History, HistoryEntry
+from .idempotency import CachedOutcome, OutcomeCache
+from .record_set import RecordSet, StoredRecord
 from .store import RecordStore
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRecord:
-    """Hold one record; ``body`` is in MessagePack."""
+    """One record; ``body`` is in MessagePack."""
 
     kind: RecordKind
     business: str
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """Hold all that a record store must keep when the log is compacted."""
+    """The whole state of a record store, which must survive log compaction.
+
+    ``answers`` is the outcome cache, ``deadlines`` the state of the rate limit.
+    """
 
     revision: int
     next_service: int
@@ -40,51 +43,53 @@
     targets: tuple[Target, ...]
     slices: tuple[ServiceSlice, ...]
     deadlines: dict[str, float]
-    answers: tuple[Answer, ...]
-    history: tuple[Entry, ...]
+    answers: tuple[CachedOutcome, ...]
+    history: tuple[HistoryEntry, ...]
 
 
 def take_snapshot(store: RecordStore) -> bytes:
-    """Return the whole state of the store."""
+    """Return the whole state of the store, serialized."""
     snapshot = StoreSnapshot(
         revision=store.revision,
-        next_service=store.draft.next_service,
+        next_service=store.record_set.next_service_number,
         next_incarnation=store.next_incarnation,
-        records=tuple(_pack(stored) for stored in store.draft.records.values()),
+        records=tuple(
+            _pack_record(stored) for stored in store.record_set.records.values()
+        ),
         targets=store.list_targets(),
         slices=tuple(store.slices.values()),
-        deadlines=dict(store.deadlines),
-        answers=store.answers.list_answers(),
+        deadlines=dict(store.rate_limit_full_at),
+        answers=store.outcome_cache.list_outcomes(),
         history=store.history.list_entries(),
     )
     return encode(snapshot)
 
 
 def read_snapshot(data: bytes) -> Result[RecordStore, Fault]:
-    """Return a store in the state of the snapshot."""
-    return decode(data, StoreSnapshot).map(_build)
+    """Return a store restored from the snapshot; fail if it cannot be decoded."""
+    return decode(data, StoreSnapshot).map(_restore_store)
 
 
-def _build(snapshot: StoreSnapshot) -> RecordStore:
-    draft = Draft()
+def _restore_store(snapshot: StoreSnapshot) -> RecordStore:
+    record_set = RecordSet()
     for packed in snapshot.records:
-        draft.put(_unpack(packed))
-    draft.next_service = snapshot.next_service
+        record_set.put(_unpack_record(packed))
+    record_set.next_service_number = snapshot.next_service
     store = RecordStore()
-    store.draft = draft
+    store.record_set = record_set
     for target in snapshot.targets:
         key = (target.announcement.business, target.announcement.service)
         store.targets[key] = (*store.targets.get(key, ()), target)
     store.next_incarnation = snapshot.next_incarnation
-    store.slices = {found.number: found for found in snapshot.slices}
+    store.slices = {slice_.number: slice_ for slice_ in snapshot.slices}
     store.revision = snapshot.revision
-    store.deadlines = snapshot.deadlines
-    store.answers = AnswerBook(snapshot.answers)
+    store.rate_limit_full_at = snapshot.deadlines
+    store.outcome_cache = OutcomeCache(snapshot.answers)
     store.history = History(snapshot.history)
     return store
 
 
-def _pack(stored: StoredRecord) -> SnapshotRecord:
+def _pack_record(stored: StoredRecord) -> SnapshotRecord:
     record = stored.record
     return SnapshotRecord(
         record.kind,
@@ -97,7 +102,7 @@
     )
 
 
-def _unpack(packed: SnapshotRecord) -> StoredRecord:
+def _unpack_record(packed: SnapshotRecord) -> StoredRecord:
     record = Record(
         packed.kind,
         packed.business,
--- a/ibisshunt/coordination/records/targets.py
+++ b/ibisshunt/coordination/records/targets.py
@@ -1,4 +1,4 @@
-"""Decide what an announcement makes of the targets of one service."""
+"""Apply the announcement of a target to the targets of its service."""
 
 from dataclasses import dataclass, replace
 
@@ -8,11 +8,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admission:
-    """Hold the targets of the service afterwards, and the one that announced.
+class AnnouncementResult:
+    """The targets of the service after an announcement, and the announced target.
 
-    ``target`` is None when nothing was admitted; ``error`` then tells why, and is
-    empty when a target that nobody knew says that it leaves.
+    ``target`` is None if nothing was registered; ``error`` then is the reason, or empty
+    if an unknown target announced that it leaves.
     """
 
     targets: tuple[Target, ...]
@@ -20,57 +20,65 @@
     error: str = ""
 
 
-def admit(
+def apply_announcement(
     targets: tuple[Target, ...], command: AnnounceTarget, next_incarnation: int
-) -> Admission:
-    """Decide on one announcement."""
+) -> AnnouncementResult:
+    """Register, renew or refuse the announced target.
+
+    A new target gets ``next_incarnation`` and starts warming up.
+    """
     announced = command.announcement
-    known = find_session(targets, announced)
+    known = find_target_by_session(targets, announced)
     if known is not None:
-        return _renew(targets, known, command)
+        return _refresh_target(targets, known, command)
     if command.leaving:
-        return Admission(targets)
-    if error := _find_rival(targets, announced):
-        return Admission(targets, error=error)
+        return AnnouncementResult(targets)
+    if error := _find_name_conflict(targets, announced):
+        return AnnouncementResult(targets, error=error)
     target = Target(
         announced, next_incarnation, TargetState.READY, command.now + WARM_UP_SECONDS
     )
-    kept = tuple(old for old in targets if not _is_replaced(old, announced))
-    return Admission((*kept, target), target)
+    remaining = tuple(old for old in targets if not _is_replaced(old, announced))
+    return AnnouncementResult((*remaining, target), target)
 
 
-def find_session(targets: tuple[Target, ...], announced: Announcement) -> Target | None:
-    """Return the incarnation that this process announced before, or None."""
+def find_target_by_session(
+    targets: tuple[Target, ...], announced: Announcement
+) -> Target | None:
+    """Return the target that this agent process announced before, or None."""
     for target in targets:
-        found = target.announcement
-        if (found.name, found.session) == (announced.name, announced.session):
+        announcement = target.announcement
+        if (announcement.name, announcement.session) == (
+            announced.name,
+            announced.session,
+        ):
             return target
     return None
 
 
-def _renew(
+def _refresh_target(
     targets: tuple[Target, ...], known: Target, command: AnnounceTarget
-) -> Admission:
+) -> AnnouncementResult:
     state = TargetState.LEAVING if command.leaving else TargetState.READY
     renewed = replace(known, announcement=command.announcement, state=state)
     after = tuple(renewed if old is known else old for old in targets)
-    return Admission(after, renewed)
+    return AnnouncementResult(after, renewed)
 
 
 def _is_replaced(old: Target, announced: Announcement) -> bool:
-    # The new process has bound the old one's address, so the old one has ended.
+    # The new process could bind the same address, so the old one has ended.
     return old.announcement.packets == announced.packets
 
 
-def _find_rival(targets: tuple[Target, ...], announced: Announcement) -> str:
-    """Return why the name is not free, or an empty text.
+def _find_name_conflict(targets: tuple[Target, ...], announced: Announcement) -> str:
+    """Return why the name is not available, or an empty string.
 
-    Two live processes under one name would replace each other at each announcement,
-    and every flow would move with them.
+    Two live processes with one name would replace each other with each announcement,
+    and all flows would move every time.
     """
     for old in targets:
         if old.name != announced.name or old.state != TargetState.READY:
             continue
         if not _is_replaced(old, announced):
-            return f"name {old.name!r} is held by {old.announcement.packets}"
+            return f"name {old.name!r} is in use by {old.announcement.packets}"
     return ""
--- a/ibisshunt/coordination/requests/__init__.py
+++ b/ibisshunt/coordination/requests/__init__.py
@@ -1,38 +1,43 @@
-"""Decide where, when and how often a request runs."""
+"""Admit requests, choose the agent that runs them, and run each key at most once."""
 
-from .admission import Admission, Refused, Waiting
+from .admission import Admission, QueuedRequest, Refused
 from .budget import RetryBudget
-from .claims import Ask, Claimant, End, Ending, Pause
-from .handover import Holder
-from .holders import Member, Pair, View, find_pair, make_view
+from .claims import Backoff, Claimant, ClaimOutcome, ClaimResult, SendClaim
 from .ledger import Ledger
-from .outcomes import Answer, Attempt
-from .sharing import Load, Sharing
-from .weighting import Observation, find_share, observe, weigh_targets
+from .load_sharing import Load, LoadSharing
+from .messages import Attempt, StoredResponse
+from .replica import LedgerReplica
+from .views import Member, ReplicaPair, View, find_replicas, make_view
+from .weighting import (
+    TargetStats,
+    compute_slow_start_share,
+    compute_weights,
+    update_stats,
+)
 
 __all__ = [
     "Admission",
-    "Answer",
-    "Ask",
+    "StoredResponse",
+    "SendClaim",
     "Attempt",
     "Claimant",
-    "End",
-    "Ending",
-    "Holder",
+    "ClaimResult",
+    "ClaimOutcome",
+    "LedgerReplica",
     "Ledger",
     "Load",
     "Member",
-    "Observation",
-    "Pair",
-    "Pause",
+    "TargetStats",
+    "ReplicaPair",
+    "Backoff",
     "Refused",
     "RetryBudget",
-    "Sharing",
+    "LoadSharing",
     "View",
-    "Waiting",
-    "find_pair",
-    "find_share",
+    "QueuedRequest",
+    "find_replicas",
+    "compute_slow_start_share",
     "make_view",
-    "observe",
-    "weigh_targets",
+    "update_stats",
+    "compute_weights",
 ]
--- a/ibisshunt/coordination/requests/admission.py
+++ b/ibisshunt/coordination/requests/admission.py
@@ -1,4 +1,4 @@
-"""Decide which request runs next on one target, and which is refused."""
+"""Schedule the requests of one target and refuse those beyond its capacity."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -7,15 +7,15 @@
 
 from sortedcontainers import SortedDict
 
-from .outcomes import Attempt
+from .messages import Attempt
 
-# The mean time in a slot that is assumed before the first answer, in seconds.
-FIRST_SERVICE_SECONDS: Final = 0.05
-SMOOTHING: Final = 0.1
+# The mean service time that is assumed before the first response.
+INITIAL_SERVICE_SECONDS: Final = 0.05
+SMOOTHING_FACTOR: Final = 0.1
 
 
-class Refusal(StrEnum):
-    """Name why a request is not admitted."""
+class RefusalReason(StrEnum):
+    """Reason for which a request is not admitted."""
 
     TOO_LATE = "deadline can not be met"
     QUEUE_FULL = "queue is full"
@@ -25,15 +25,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Refuse a request; ``retry_after`` is in seconds."""
+    """Refusal of a request; ``retry_after`` is in seconds."""
 
-    reason: Refusal
+    reason: RefusalReason
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
-    """Describe a request that has not started."""
+class QueuedRequest:
+    """A queued request; the lowest ``rank`` starts first."""
 
     attempt: Attempt
     caller: str
@@ -42,12 +42,12 @@
 
 
 class Admission:
-    """Hold the slots of one target and the bounded queue before them.
+    """Manage the slots of one target and a bounded queue in front of them.
 
-    The nearest deadline goes first. A request of a caller that has others waiting ranks
-    as if its deadline were later, by the time that the callers' turns would take: so
-    callers with few requests are served in the order of arrival, and one with many
-    does not hold them up.
+    The request with the nearest deadline starts first. A request of a caller that has
+    others in the queue ranks as if its deadline were later, by the time that a round
+    robin over the callers would take. So a caller with many requests does not delay
+    those with few, which are served in order of arrival.
     """
 
     def __init__(self, slots: int, queue_limit: int) -> None:
@@ -55,116 +55,122 @@
         self.queue_limit = queue_limit
         self.stopping = False
         self.running: dict[Attempt, str] = {}
-        self.service_seconds = FIRST_SERVICE_SECONDS
-        self._waiting: dict[Attempt, Waiting] = {}
-        self._order: SortedDict = SortedDict()
-        self._callers: Counter[str] = Counter()
-        self._arrivals = 0
+        self.service_seconds = INITIAL_SERVICE_SECONDS
+        self._queue: dict[Attempt, QueuedRequest] = {}
+        self._attempts_by_rank: SortedDict = SortedDict()
+        self._queued_by_caller: Counter[str] = Counter()
+        self._arrival_count = 0
 
     @property
     def queued(self) -> int:
-        """Count the requests that have not started."""
-        return len(self._waiting)
+        """Return the number of queued requests."""
+        return len(self._queue)
 
-    def count_usable(self, share: float) -> int:
-        """Return the slots in use at a share in 0-1; a cold target has at least one."""
+    def count_usable_slots(self, share: float) -> int:
+        """Return the usable slots at a slow-start share in 0-1; at least one."""
         return max(1, round(self.slots * share))
 
     def estimate_wait(self, share: float = 1.0) -> float:
-        """Return the seconds that a new request is likely to wait."""
-        usable = self.count_usable(share)
+        """Return the seconds that a new request is expected to wait."""
+        usable = self.count_usable_slots(share)
         ahead = len(self.running) + self.queued + 1 - usable
         return max(0, ahead) * self.service_seconds / usable
 
     def offer(
         self, attempt: Attempt, caller: str, deadline: float, now: float, share: float
     ) -> Refused | None:
-        """Queue a request, or refuse it at once.
+        """Queue a request, or refuse it immediately.
 
-        A request that cannot make its deadline would take a slot for nothing: under
-        overload all slots would serve requests whose callers have given up.
+        A request that will miss its deadline is refused: under overload all slots would
+        otherwise serve requests whose callers have timed out.
         """
-        if refused := self._check(caller, deadline, now, share):
+        if refused := self._find_refusal(caller, deadline, now, share):
             return refused
-        self._arrivals += 1
-        rank = (deadline + self._find_handicap(caller), self._arrivals)
-        self._waiting[attempt] = Waiting(attempt, caller, deadline, rank)
-        self._order[rank] = attempt
-        self._callers[caller] += 1
+        self._arrival_count += 1
+        rank = (deadline + self._compute_penalty(caller), self._arrival_count)
+        self._queue[attempt] = QueuedRequest(attempt, caller, deadline, rank)
+        self._attempts_by_rank[rank] = attempt
+        self._queued_by_caller[caller] += 1
         return None
 
-    def _find_handicap(self, caller: str) -> float:
-        """Return the seconds that the caller's waiting requests take in turns."""
-        turn = self.service_seconds * max(1, len(self._callers)) / self.slots
-        return self._callers[caller] * turn if caller in self._callers else 0.0
+    def _compute_penalty(self, caller: str) -> float:
+        """Return the seconds that a round robin takes for the caller's queue."""
+        round_seconds = (
+            self.service_seconds * max(1, len(self._queued_by_caller)) / self.slots
+        )
+        return (
+            self._queued_by_caller[caller] * round_seconds
+            if caller in self._queued_by_caller
+            else 0.0
+        )
 
-    def _check(
+    def _find_refusal(
         self, caller: str, deadline: float, now: float, share: float
     ) -> Refused | None:
         wait = self.estimate_wait(share)
         retry_after = max(wait, self.service_seconds)
         if self.stopping:
-            return Refused(Refusal.STOPPING, retry_after)
+            return Refused(RefusalReason.STOPPING, retry_after)
         if now + wait + self.service_seconds > deadline:
-            return Refused(Refusal.TOO_LATE, retry_after)
-        if self.queued == 0 and len(self.running) < self.count_usable(share):
+            return Refused(RefusalReason.TOO_LATE, retry_after)
+        if self.queued == 0 and len(self.running) < self.count_usable_slots(share):
             return None
         if self.queued >= self.queue_limit:
-            return Refused(Refusal.QUEUE_FULL, retry_after)
-        # One caller alone may fill half of the queue; the rest is for the others.
-        mine = self._callers.get(caller, 0)
-        if mine * 2 >= self.queue_limit + 1 and self.queue_limit > 1:
-            return Refused(Refusal.CALLER_SHARE, retry_after)
+            return Refused(RefusalReason.QUEUE_FULL, retry_after)
+        # A single caller may fill half of the queue; the rest is for the others.
+        queued_of_caller = self._queued_by_caller.get(caller, 0)
+        if queued_of_caller * 2 >= self.queue_limit + 1 and self.queue_limit > 1:
+            return Refused(RefusalReason.CALLER_SHARE, retry_after)
         return None
 
-    def start_next(self, now: float, share: float) -> Waiting | None:
-        """Give a free slot to the next request, or return None."""
-        if len(self.running) >= self.count_usable(share):
+    def start_next(self, now: float, share: float) -> QueuedRequest | None:
+        """Start the next request; return None if no slot is free or none is queued."""
+        if len(self.running) >= self.count_usable_slots(share):
             return None
-        waiting = self.peek_next()
-        if waiting is None:
+        request = self.peek_next()
+        if request is None:
             return None
-        self.withdraw(waiting.attempt)
-        self.running[waiting.attempt] = waiting.caller
-        return waiting
+        self.withdraw(request.attempt)
+        self.running[request.attempt] = request.caller
+        return request
 
-    def take_next(self) -> Waiting | None:
-        """Remove the request that would start next, for an idle agent to run."""
-        waiting = self.peek_next()
-        if waiting is not None:
-            self.withdraw(waiting.attempt)
-        return waiting
+    def pop_next(self) -> QueuedRequest | None:
+        """Remove and return the next request, for an idle agent to run."""
+        request = self.peek_next()
+        if request is not None:
+            self.withdraw(request.attempt)
+        return request
 
     def withdraw(self, attempt: Attempt) -> bool:
-        """Remove a request that has not started; return whether it was waiting."""
-        waiting = self._waiting.pop(attempt, None)
-        if waiting is None:
+        """Remove a request from the queue; return whether it was queued."""
+        request = self._queue.pop(attempt, None)
+        if request is None:
             return False
-        del self._order[waiting.rank]
-        self._callers[waiting.caller] -= 1
-        if not self._callers[waiting.caller]:
-            del self._callers[waiting.caller]
+        del self._attempts_by_rank[request.rank]
+        self._queued_by_caller[request.caller] -= 1
+        if not self._queued_by_caller[request.caller]:
+            del self._queued_by_caller[request.caller]
         return True
 
     def list_expired(self, now: float) -> tuple[Attempt, ...]:
-        """Return the waiting requests that can no longer make their deadline."""
+        """Return the queued requests that can no longer meet their deadlines."""
         latest = now + self.service_seconds / 2
         return tuple(
             attempt
-            for attempt, waiting in self._waiting.items()
-            if waiting.deadline < latest
+            for attempt, request in self._queue.items()
+            if request.deadline < latest
         )
 
     def finish(self, attempt: Attempt, seconds: float | None) -> None:
-        """Free the slot; ``seconds`` is the time in it, None when it was cut short."""
+        """Free the slot; ``seconds`` is the service time, None after a cancellation."""
         if self.running.pop(attempt, None) is None:
             return
         if seconds is not None:
             change = seconds - self.service_seconds
-            self.service_seconds += SMOOTHING * change
+            self.service_seconds += SMOOTHING_FACTOR * change
 
-    def peek_next(self) -> Waiting | None:
-        """Return the request that would start next; it stays in the queue."""
-        if not self._order:
+    def peek_next(self) -> QueuedRequest | None:
+        """Return the next request and leave it in the queue."""
+        if not self._attempts_by_rank:
             return None
-        return self._waiting[self._order.peekitem(0)[1]]
+        return self._queue[self._attempts_by_rank.peekitem(0)[1]]
--- a/ibisshunt/coordination/requests/budget.py
+++ b/ibisshunt/coordination/requests/budget.py
@@ -1,29 +1,29 @@
-"""Decide whether a request may be sent once more."""
+"""Limit the retries of requests."""
 
 from typing import Final
 
-MOST_SAVED: Final = 10.0
+MAX_SAVED_RETRIES: Final = 10.0
 
 
 class RetryBudget:
-    """Allow retries as a share of the requests.
+    """Allow retries up to a share of the requests.
 
-    Without a bound, each refusal of an overloaded service would be sent again and the
-    load would multiply. With a share of 0.1 it grows by a tenth at most.
+    Without a limit every request that an overloaded service refuses would be sent
+    again, and the load would multiply. A share of 0.1 limits the extra load to a tenth.
     """
 
     def __init__(self, share: float) -> None:
         self.share = share
-        self._saved = 0.0
+        self._saved_retries = 0.0
 
     def count_request(self) -> None:
-        """Save a share of a retry for each first try."""
-        self._saved = min(MOST_SAVED, self._saved + self.share)
+        """Add the share of a retry that a first attempt earns."""
+        self._saved_retries = min(MAX_SAVED_RETRIES, self._saved_retries + self.share)
 
     def take(self) -> bool:
-        """Spend one retry; return False when none is left."""
-        # Sums of a share such as 0.1 stay a little below a whole.
-        if self._saved < 1.0 - 1e-9:
+        """Consume one retry; return False if none is left."""
+        # Floating-point sums of a share such as 0.1 stay slightly below 1.0.
+        if self._saved_retries < 1.0 - 1e-9:
             return False
-        self._saved -= 1.0
+        self._saved_retries -= 1.0
         return True
--- a/ibisshunt/coordination/requests/claims.py
+++ b/ibisshunt/coordination/requests/claims.py
@@ -1,20 +1,20 @@
-"""Decide, for one attempt, whether both holders of its key let it run."""
+"""Claim a key for one attempt at both of the key's replicas."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 from typing import Final
 
-from .holders import Pair, View, find_pair
-from .outcomes import Answer, Attempt, Claim, ClaimReply, Verdict
+from .messages import Attempt, Claim, ClaimReply, StoredResponse, Verdict
+from .views import ReplicaPair, View, find_replicas
 
-# How long an attempt waits for holders that are silent or take over, in seconds.
-PATIENCE_SECONDS: Final = 1.0
-FIRST_PAUSE_SECONDS: Final = 0.01
-LONGEST_PAUSE_SECONDS: Final = 0.25
+# How long an attempt waits for replicas that do not answer or have not opened yet.
+UNAVAILABLE_TIMEOUT_SECONDS: Final = 1.0
+INITIAL_BACKOFF_SECONDS: Final = 0.01
+MAX_BACKOFF_SECONDS: Final = 0.25
 
 
-class Ending(StrEnum):
-    """Name how a claim ends."""
+class ClaimOutcome(StrEnum):
+    """Outcome of a claim."""
 
     GRANTED = "granted"
     REPLAY = "replay"
@@ -24,39 +24,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Send the claim to a holder and hand the reply to ``take_reply``."""
+class SendClaim:
+    """Send the claim to a replica and pass the reply to ``handle_reply``."""
 
-    holder: int
+    replica: int
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
-class Pause:
-    """Call ``resume`` at the deadline, or sooner when the view changes."""
+class Backoff:
+    """Call ``resume`` at the deadline, or earlier when the view changes."""
 
     deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """Finish; ``release`` names the holders that may hold this attempt."""
+class ClaimResult:
+    """End the claim; ``release`` lists the replicas that may have reserved the key."""
 
-    ending: Ending
+    outcome: ClaimOutcome
     reason: str
-    answer: Answer | None = None
+    response: StoredResponse | None = None
     release: tuple[int, ...] = ()
 
 
-Step = Ask | Pause | End
+ClaimStep = SendClaim | Backoff | ClaimResult
 
 
 class Claimant:
-    """Ask the first holder of a key, then the second.
+    """Claim a key at its first replica, then at its second.
 
-    The order decides a race: who gets the first holder goes on, the other waits. The
-    claim is granted when both holders grant it under one view, and only then may the
-    target see a byte. ``deadline`` is that of the request.
+    The order decides a race of two attempts: the one that gets the first replica
+    continues, the other waits. The claim is granted when both replicas grant it under
+    the same view; the target must not get a byte of the request earlier. ``deadline``
+    is that of the request.
     """
 
     def __init__(
@@ -71,79 +72,86 @@
         self.key = key
         self.fingerprint = fingerprint
         self.attempt = attempt
-        self.asked: set[int] = set()
+        self.contacted_replicas: set[int] = set()
         self._view = view
-        self._pair: Pair | None = None
-        self._words = 0
-        self._full = False
+        self._pair: ReplicaPair | None = None
+        self._reply_count = 0
+        self._is_ledger_full = False
         self._deadline = deadline
-        self._patience_deadline = min(deadline, now + PATIENCE_SECONDS)
-        self._pause = FIRST_PAUSE_SECONDS
+        self._unavailable_deadline = min(deadline, now + UNAVAILABLE_TIMEOUT_SECONDS)
+        self._backoff = INITIAL_BACKOFF_SECONDS
 
-    def start(self) -> Step:
+    def start(self) -> ClaimStep:
         """Return the first step."""
-        self._words = 0
-        self._full = False
-        self._pair = find_pair(self._view, self.key)
+        self._reply_count = 0
+        self._is_ledger_full = False
+        self._pair = find_replicas(self._view, self.key)
         if self._pair is None:
-            return self._finish(Ending.UNKNOWN, "no two failure domains hold the key")
-        return self._ask()
+            return self._finish(
+                ClaimOutcome.UNKNOWN, "no two failure domains hold the key"
+            )
+        return self._send_claim()
 
-    def resume(self, view: View, now: float) -> Step:
-        """Ask again after a pause, under the view that is now in force."""
+    def resume(self, view: View, now: float) -> ClaimStep:
+        """Retry after a backoff, under the current view."""
         if now >= self._deadline:
-            return self._finish(Ending.UNKNOWN, "deadline passed")
+            return self._finish(ClaimOutcome.UNKNOWN, "deadline passed")
         if view.digest != self._view.digest:
             self._view = view
             return self.start()
-        return self._ask() if self._pair else self.start()
+        return self._send_claim() if self._pair else self.start()
 
-    def take_reply(self, reply: ClaimReply, now: float) -> Step:
-        """Return the next step after a holder's reply."""
+    def handle_reply(self, reply: ClaimReply, now: float) -> ClaimStep:
+        """Return the next step after a replica's reply."""
         if reply.verdict in (Verdict.GRANTED, Verdict.FULL):
-            return self._go_on(reply.verdict)
+            return self._count_reply(reply.verdict)
         if reply.verdict == Verdict.DONE:
-            return self._finish(Ending.REPLAY, "done before", reply.answer)
+            return self._finish(ClaimOutcome.REPLAY, "done before", reply.answer)
         if reply.verdict == Verdict.UNKNOWN:
-            return self._finish(Ending.UNKNOWN, "an earlier attempt may have run")
+            return self._finish(ClaimOutcome.UNKNOWN, "an earlier attempt may have run")
         if reply.verdict == Verdict.MISMATCH:
-            return self._finish(Ending.MISMATCH, "key was used for another request")
+            return self._finish(
+                ClaimOutcome.MISMATCH, "key was used for another request"
+            )
         if reply.verdict == Verdict.RELEASED:
-            return self._finish(Ending.UNKNOWN, "attempt was given up")
-        return self._wait(reply.verdict, now)
-
-    def _go_on(self, verdict: Verdict) -> Step:
-        self._words += 1
-        self._full |= verdict == Verdict.FULL
-        self._pause = FIRST_PAUSE_SECONDS
-        if self._words < 2:
-            return self._ask()
-        # "Not run" needs the word of both holders that they have never seen the key.
-        # One alone may have been replaced without knowing: the key may have run under
-        # a newer view that was copied from the other.
-        if self._full:
-            return self._finish(Ending.NOT_RUN, "holders are full")
-        return End(Ending.GRANTED, "")
-
-    def _ask(self) -> Step:
+            return self._finish(ClaimOutcome.UNKNOWN, "attempt was given up")
+        return self._back_off(reply.verdict, now)
+
+    def _count_reply(self, verdict: Verdict) -> ClaimStep:
+        self._reply_count += 1
+        self._is_ledger_full |= verdict == Verdict.FULL
+        self._backoff = INITIAL_BACKOFF_SECONDS
+        if self._reply_count < 2:
+            return self._send_claim()
+        # "Not run" needs both replicas to say that they have never seen the key. A
+        # single one may have been replaced without knowing it, and the key may have
+        # run under a newer view whose records came from the other replica.
+        if self._is_ledger_full:
+            return self._finish(ClaimOutcome.NOT_RUN, "holders are full")
+        return ClaimResult(ClaimOutcome.GRANTED, "")
+
+    def _send_claim(self) -> ClaimStep:
         assert self._pair is not None
-        member = self._pair.second if self._words else self._pair.first
-        self.asked.add(member.incarnation)
+        member = self._pair.second if self._reply_count else self._pair.first
+        self.contacted_replicas.add(member.incarnation)
         claim = Claim(self.key, self.attempt, self.fingerprint, self._view.digest)
-        return Ask(member.incarnation, claim)
-
-    def _wait(self, verdict: Verdict, now: float) -> Step:
-        # An attempt that holds the key may be running: its answer is awaited. A holder
-        # that is silent or takes over gets less time, then the caller may come back.
-        held = verdict == Verdict.HELD
-        deadline = self._deadline if held else self._patience_deadline
+        return SendClaim(member.incarnation, claim)
+
+    def _back_off(self, verdict: Verdict, now: float) -> ClaimStep:
+        # An attempt that has claimed the key may be running: wait for its response. A
+        # replica that does not answer or has not opened gets less time; the caller may
+        # then retry.
+        is_claimed = verdict == Verdict.HELD
+        deadline = self._deadline if is_claimed else self._unavailable_deadline
         if now >= deadline:
-            return self._finish(Ending.UNKNOWN, f"holder answered {verdict}")
-        pause = self._pause
-        self._pause = min(LONGEST_PAUSE_SECONDS, pause * 2)
-        return Pause(min(deadline, now + pause))
+            return self._finish(ClaimOutcome.UNKNOWN, f"holder answered {verdict}")
+        backoff = self._backoff
+        self._backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
+        return Backoff(min(deadline, now + backoff))
 
     def _finish(
-        self, ending: Ending, reason: str, answer: Answer | None = None
-    ) -> Step:
-        return End(ending, reason, answer, tuple(sorted(self.asked)))
+        self, outcome: ClaimOutcome, reason: str, response: StoredResponse | None = None
+    ) -> ClaimStep:
+        return ClaimResult(
+            outcome, reason, response, tuple(sorted(self.contacted_replicas))
+        )
--- a/ibisshunt/coordination/requests/weighting.py
+++ b/ibisshunt/coordination/requests/weighting.py
@@ -1,98 +1,108 @@
-"""Decide how much of its share a target gets, from what was seen of it."""
+"""Weigh targets by their failures and latencies, and ramp up cold ones."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Final
 
-SMOOTHING: Final = 0.1
-LEAST_WEIGHT: Final = 0.1
-# A target is an outlier when it fails this much more often than its peers, or takes
-# this many times their time.
+SMOOTHING_FACTOR: Final = 0.1
+MIN_WEIGHT: Final = 0.1
+# A target is an outlier when its failure rate exceeds the median by this margin, or its
+# latency is this multiple of the median.
 FAILURE_MARGIN: Final = 0.2
 SLOW_FACTOR: Final = 3.0
-COLD_SHARE: Final = 0.25
+MIN_SLOW_START_SHARE: Final = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class Observation:
-    """Hold what was seen of a target: share of failures in 0-1, mean seconds."""
+class TargetStats:
+    """Failure rate in 0-1 and mean latency in seconds of a target."""
 
     failures: float = 0.0
     seconds: float = 0.0
     count: int = 0
 
 
-def observe(found: Observation, failed: bool, seconds: float) -> Observation:
-    """Return the observation after one more answer or refusal."""
-    if found.count == 0:
-        return Observation(float(failed), seconds, 1)
-    failures = found.failures + SMOOTHING * (float(failed) - found.failures)
-    mean = found.seconds + SMOOTHING * (seconds - found.seconds)
-    return Observation(failures, mean, found.count + 1)
+def update_stats(stats: TargetStats, failed: bool, seconds: float) -> TargetStats:
+    """Return the statistics after one more response or refusal."""
+    if stats.count == 0:
+        return TargetStats(float(failed), seconds, 1)
+    failures = stats.failures + SMOOTHING_FACTOR * (float(failed) - stats.failures)
+    mean = stats.seconds + SMOOTHING_FACTOR * (seconds - stats.seconds)
+    return TargetStats(failures, mean, stats.count + 1)
 
 
-class Observations:
-    """Hold what this agent saw of each target, and the weights that follow."""
+class OutlierDetector:
+    """Track the statistics of each target as this agent sees it; compute weights."""
 
     def __init__(self) -> None:
-        self._seen: dict[int, Observation] = {}
+        self._stats: dict[int, TargetStats] = {}
         self._weights: dict[int, float] | None = None
 
-    def note(self, target: int, failed: bool, seconds: float) -> None:
-        """Take in one answer or refusal."""
-        found = self._seen.get(target, Observation())
-        self._seen[target] = observe(found, failed, seconds)
+    def record(self, target: int, failed: bool, seconds: float) -> None:
+        """Record one response or refusal."""
+        stats = self._stats.get(target, TargetStats())
+        self._stats[target] = update_stats(stats, failed, seconds)
         self._weights = None
 
-    def keep_only(self, targets: Iterable[int]) -> None:
-        """Forget targets that are no longer members."""
-        wanted = set(targets)
-        self._seen = {one: seen for one, seen in self._seen.items() if one in wanted}
+    def retain(self, targets: Iterable[int]) -> None:
+        """Remove targets that are no longer members."""
+        members = set(targets)
+        self._stats = {
+            target: stats for target, stats in self._stats.items() if target in members
+        }
         self._weights = None
 
     @property
     def weights(self) -> dict[int, float]:
-        """Return the weight of each target that was seen."""
+        """Return the weight of each target with statistics."""
         if self._weights is None:
-            self._weights = weigh_targets(self._seen)
+            self._weights = compute_weights(self._stats)
         return self._weights
 
 
-def weigh_targets(observations: dict[int, Observation]) -> dict[int, float]:
+def compute_weights(stats_by_target: dict[int, TargetStats]) -> dict[int, float]:
     """Return the weight of each target in 0.1-1.
 
-    Outliers get less, and at most half of the targets are outliers: when all look bad
-    the fault is elsewhere, and taking them all out would end the service.
+    Outliers get less than 1. At most half of the targets count as outliers: when most
+    targets look bad the fault is elsewhere, and ejecting them would end the service.
     """
-    if not observations:
+    if not stats_by_target:
         return {}
-    typical = _find_typical(observations)
-    scores = {one: _score(seen, typical) for one, seen in observations.items()}
-    worst = sorted(scores, key=lambda one: (scores[one], one))[: len(scores) // 2]
+    median = _compute_median(stats_by_target)
+    scores = {
+        target: _compute_score(stats, median)
+        for target, stats in stats_by_target.items()
+    }
+    worst = sorted(scores, key=lambda target: (scores[target], target))[
+        : len(scores) // 2
+    ]
     return {
-        one: max(LEAST_WEIGHT, score) if one in worst else 1.0
-        for one, score in scores.items()
+        target: max(MIN_WEIGHT, score) if target in worst else 1.0
+        for target, score in scores.items()
     }
 
 
-def find_share(warm_deadline: float, warm_up: float, now: float) -> float:
-    """Return the share in 0-1 of a target that is warming up until the deadline."""
+def compute_slow_start_share(warm_deadline: float, warm_up: float, now: float) -> float:
+    """Return the share in 0-1 of a target that warms up until ``warm_deadline``.
+
+    ``warm_up`` is the length of the warm-up in seconds.
+    """
     if now >= warm_deadline:
         return 1.0
     progress = 1.0 - (warm_deadline - now) / warm_up
-    return max(COLD_SHARE, progress)
+    return max(MIN_SLOW_START_SHARE, progress)
 
 
-def _find_typical(observations: dict[int, Observation]) -> Observation:
-    middle = (len(observations) - 1) // 2
-    failures = sorted(seen.failures for seen in observations.values())[middle]
-    seconds = sorted(seen.seconds for seen in observations.values())[middle]
-    return Observation(failures, seconds)
+def _compute_median(stats_by_target: dict[int, TargetStats]) -> TargetStats:
+    middle = (len(stats_by_target) - 1) // 2
+    failures = sorted(stats.failures for stats in stats_by_target.values())[middle]
+    seconds = sorted(stats.seconds for stats in stats_by_target.values())[middle]
+    return TargetStats(failures, seconds)
 
 
-def _score(seen: Observation, typical: Observation) -> float:
-    if seen.failures > typical.failures + FAILURE_MARGIN:
-        return 1.0 - seen.failures
-    if typical.seconds > 0 and seen.seconds > SLOW_FACTOR * typical.seconds:
-        return typical.seconds / seen.seconds
+def _compute_score(stats: TargetStats, median: TargetStats) -> float:
+    if stats.failures > median.failures + FAILURE_MARGIN:
+        return 1.0 - stats.failures
+    if median.seconds > 0 and stats.seconds > SLOW_FACTOR * median.seconds:
+        return median.seconds / stats.seconds
     return 1.0
--- a/ibisshunt/coordination/versions/state.py
+++ b/ibisshunt/coordination/versions/state.py
@@ -1,24 +1,24 @@
-"""Drive all that operators order of a fleet by one replicated log."""
+"""State machine of a fleet: configuration version and drained failure domains."""
 
 import msgspec
 
-from .domains import DomainStore, encode_order
+from .domains import DomainStore, encode_domain_change
 from .store import VersionStore
 
-# First byte of a command for a failure domain. No command of a version begins with it:
-# msgpack does not use this byte, and earlier releases wrote versions alone.
-DOMAIN_MARK = b"\xc1"
+# First byte of a domain change. No PutVersion command begins with it, since msgpack
+# does not use this byte; earlier releases wrote only PutVersion commands.
+DOMAIN_COMMAND_PREFIX = b"\xc1"
 
 
 class _Snapshot(msgspec.Struct, frozen=True, array_like=True):
     version: int
     body: bytes
-    # Snapshots of earlier releases end before this: no domain was ordered then.
+    # Missing in snapshots of earlier releases, which could not drain domains.
     domains: bytes = msgspec.msgpack.encode({})
 
 
 class FleetState:
-    """Own the newest configuration and the drained failure domains of one host."""
+    """The newest configuration and the drained failure domains, on one control host."""
 
     def __init__(self) -> None:
         self.versions = VersionStore()
@@ -26,23 +26,27 @@
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one command and return its outcome."""
-        if command.startswith(DOMAIN_MARK):
-            return self.domains.apply(index, command[len(DOMAIN_MARK) :])
+        if command.startswith(DOMAIN_COMMAND_PREFIX):
+            return self.domains.apply(index, command[len(DOMAIN_COMMAND_PREFIX) :])
         return self.versions.apply(index, command)
 
     def take_snapshot(self) -> bytes:
-        """Return the whole state."""
-        held = self.versions
+        """Return the whole state, serialized."""
+        versions = self.versions
         domains = self.domains.take_snapshot()
-        return msgspec.msgpack.encode(_Snapshot(held.version, held.body, domains))
+        return msgspec.msgpack.encode(
+            _Snapshot(versions.version, versions.body, domains)
+        )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state."""
-        held = msgspec.msgpack.decode(data, type=_Snapshot)
-        self.versions.version, self.versions.body = held.version, held.body
-        self.domains.restore(held.domains)
+        """Replace the whole state by that of a snapshot."""
+        snapshot = msgspec.msgpack.decode(data, type=_Snapshot)
+        self.versions.version, self.versions.body = snapshot.version, snapshot.body
+        self.domains.restore(snapshot.domains)
 
 
-def encode_domain_command(domain: str, is_drained: bool, known: int) -> bytes:
-    """Return the command of the log for an order of a failure domain."""
-    return DOMAIN_MARK + encode_order(domain, is_drained, known)
+def encode_domain_command(domain: str, is_drained: bool, known_revision: int) -> bytes:
+    """Return the log command that drains a failure domain or reopens it."""
+    return DOMAIN_COMMAND_PREFIX + encode_domain_change(
+        domain, is_drained, known_revision
+    )
--- a/ibisshunt/core.py
+++ b/ibisshunt/core.py
@@ -1,4 +1,4 @@
-"""Run the services of one process and let them find each other by name."""
+"""Run the services of one process and provide them to each other by name."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,11 +9,12 @@
 from .exceptions import Fault, ServiceNotFoundError
 from .helpers.logging import log_failure, warn_event
 
+# Stops a service and releases its resources.
 Unload = Callable[[], None]
 
 
 class Kernel:
-    """Hold named services and stop them in the reverse order of their start."""
+    """Register services by name and stop them in reverse order of their start."""
 
     def __init__(self, parent: "Kernel | None" = None) -> None:
         self._parent = parent
@@ -31,9 +32,13 @@
         dump: Callable[[], Any] | None = None,
         ready: Callable[[], bool] | None = None,
     ) -> None:
-        """Add a service; raise ValueError when the name is taken."""
+        """Add a service; raise ValueError if the name is in use.
+
+        ``unload`` stops the service, ``dump`` returns its state for the admin page, and
+        ``ready`` returns whether it is ready to work.
+        """
         if name in self._services:
-            raise ValueError(f"service {name!r} is registered already")
+            raise ValueError(f"service {name!r} is already registered")
         self._services[name] = service
         if unload is not None:
             self._unloads.append((name, unload))
@@ -43,13 +48,16 @@
             self._readiness[name] = ready
 
     def make_child(self, name: str) -> "Kernel":
-        """Return a kernel with names of its own that stops with this one."""
+        """Return a kernel with a separate namespace that stops with this one."""
         child = Kernel(self)
         self.register(name, child, unload=child.stop, dump=child.dump)
         return child
 
     def find(self, name: str) -> Any:
-        """Return the service; raise ServiceNotFoundError when there is none."""
+        """Return a service of this kernel or its parents.
+
+        Raise ServiceNotFoundError if there is none of that name.
+        """
         if name in self._services:
             return self._services[name]
         if self._parent is None:
@@ -57,46 +65,46 @@
         return self._parent.find(name)
 
     def has(self, name: str) -> bool:
-        """Tell whether a service of that name can be found."""
+        """Return whether this kernel or a parent has a service of that name."""
         if name in self._services:
             return True
         return self._parent is not None and self._parent.has(name)
 
     def list_unready(self) -> list[str]:
-        """Return the services that are not ready to work."""
-        return [name for name, check in self._readiness.items() if not check()]
+        """Return the names of the services that are not ready to work."""
+        return [name for name, is_ready in self._readiness.items() if not is_ready()]
 
-    def names(self) -> tuple[str, ...]:
-        """Return the names of all services, in the order of their start."""
+    def list_names(self) -> tuple[str, ...]:
+        """Return the names of this kernel's services in the order of their start."""
         return tuple(self._services)
 
     def spawn(self, name: str, function: Callable[..., None], *args: Any) -> Any:
-        """Run a task; an error that ends it is logged and stops the process."""
-        return gevent.spawn(self._guard, name, function, *args)
+        """Start a task; if it fails, the error is logged and the process stops."""
+        return gevent.spawn(self._run_task, name, function, *args)
 
-    def _guard(self, name: str, function: Callable[..., None], *args: Any) -> None:
+    def _run_task(self, name: str, function: Callable[..., None], *args: Any) -> None:
         try:
             function(*args)
         except gevent.GreenletExit:
             raise
         except Exception as error:
-            # A task that died unseen leaves a process that looks healthy and does
-            # nothing. Ending the whole process lets its lease run out.
+            # A process that continued without the task would appear healthy but do
+            # nothing. Once the process has stopped, its lease expires.
             log_failure("task_failed", task=name, error=error)
             self.request_stop()
 
     def dump(self) -> dict[str, Any]:
-        """Return the state of each service that offers one, by name."""
-        return {name: take() for name, take in self._dumps.items()}
+        """Return the state of each service that has a dump callback, by name."""
+        return {name: dump() for name, dump in self._dumps.items()}
 
     def request_stop(self) -> None:
-        """Ask the process to stop; safe to call from a signal handler."""
+        """Request a stop of the process; safe to call from a signal handler."""
         self._stopping.set()
         if self._parent is not None:
             self._parent.request_stop()
 
     def is_stopping(self) -> bool:
-        """Tell whether a stop was requested."""
+        """Return whether a stop was requested."""
         return self._stopping.is_set()
 
     def wait_for_stop(self, timeout: float | None = None) -> bool:
@@ -104,14 +112,17 @@
         return bool(self._stopping.wait(timeout))
 
     def stop(self) -> None:
-        """Unload every service, last started first; each bounds its own time."""
+        """Unload all services, the last one first.
+
+        Each unload callback must return within a limited time.
+        """
         self._stopping.set()
         for name, unload in reversed(self._unloads):
-            self._unload_one(name, unload)
+            self._unload_service(name, unload)
         self._unloads.clear()
 
     @staticmethod
-    def _unload_one(name: str, unload: Unload) -> None:
+    def _unload_service(name: str, unload: Unload) -> None:
         try:
             unload()
         except Exception as error:
--- a/ibisshunt/exceptions.py
+++ b/ibisshunt/exceptions.py
@@ -1,14 +1,14 @@
-"""Describe what went wrong, at which step and with which peer."""
+"""Define exceptions, and faults, which represent errors as values."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Describe one error as a value.
+    """An error represented as a value.
 
-    ``step`` names what was being done, ``peer`` with whom ("" when with nobody),
-    ``reason`` what was found and what was expected.
+    ``step`` is the operation that failed, ``peer`` the other process or the file that
+    it involved ("" if none), ``reason`` what was found and what was expected.
     """
 
     step: str
@@ -16,13 +16,13 @@
     reason: str
 
     def __str__(self) -> str:
-        """Give the fault as one line."""
-        where = f" with {self.peer}" if self.peer else ""
-        return f"{self.step}{where}: {self.reason}"
+        """Return the fault as one line of text."""
+        peer = f" with {self.peer}" if self.peer else ""
+        return f"{self.step}{peer}: {self.reason}"
 
 
 class IbisshuntError(Exception):
-    """Raise a fault where a value cannot be returned."""
+    """Base class of the exceptions of this package; each carries a fault."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(str(fault))
@@ -30,24 +30,24 @@
 
 
 class SettingsError(IbisshuntError):
-    """Report settings that cannot be used."""
+    """Settings are missing or invalid."""
 
 
 class ServiceNotFoundError(IbisshuntError):
-    """Report that the kernel holds no service of that name."""
+    """The kernel has no service of that name."""
 
 
 class StorageError(IbisshuntError):
-    """Report that the data folder cannot be read or written."""
+    """The data folder cannot be read or written."""
 
 
 class RpcError(IbisshuntError):
-    """Report that a call to another process failed."""
+    """A call to another process failed."""
 
 
 class AddressError(IbisshuntError):
-    """Report a text that is no address."""
+    """A text is not of the form ``ip:port``."""
 
 
 class ConfigurationError(IbisshuntError):
-    """Report a configuration that cannot be put in force."""
+    """A configuration cannot be applied."""
--- a/ibisshunt/helpers/__init__.py
+++ b/ibisshunt/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Hold small parts that several components share."""
+"""Utilities that several components share."""
--- a/ibisshunt/helpers/backoff.py
+++ b/ibisshunt/helpers/backoff.py
@@ -1,23 +1,24 @@
-"""Space repeated attempts."""
+"""Compute the delays between retries."""
 
 from collections.abc import Callable, Iterator
 from typing import Final
 
-FIRST_DELAY_SECONDS: Final = 0.05
-LONGEST_DELAY_SECONDS: Final = 2.0
+INITIAL_DELAY_SECONDS: Final = 0.05
+MAX_DELAY_SECONDS: Final = 2.0
 
 
 def make_delays(
-    draw: Callable[[], float],
-    first: float = FIRST_DELAY_SECONDS,
-    longest: float = LONGEST_DELAY_SECONDS,
+    random_fraction: Callable[[], float],
+    initial: float = INITIAL_DELAY_SECONDS,
+    maximum: float = MAX_DELAY_SECONDS,
 ) -> Iterator[float]:
-    """Yield growing delays in seconds with full jitter.
+    """Yield exponentially growing delays in seconds, with jitter.
 
-    ``draw`` returns a number in [0, 1). Without jitter all nodes that lost the same
-    peer would come back in the same instant and overload it again.
+    ``random_fraction`` returns a random float in [0, 1). Each delay is between 50 %
+    and 100 % of the exponential delay. Without jitter all nodes that lost the same peer
+    would reconnect at the same time and overload it again.
     """
-    ceiling = first
+    ceiling = initial
     while True:
-        yield ceiling * (0.5 + draw() / 2)
-        ceiling = min(longest, ceiling * 2)
+        yield ceiling * (0.5 + random_fraction() / 2)
+        ceiling = min(maximum, ceiling * 2)
--- a/ibisshunt/helpers/clock.py
+++ b/ibisshunt/helpers/clock.py
@@ -1,30 +1,31 @@
-"""Read the clock that everything in this process is timed by."""
+"""Read the clocks of this process."""
 
 import time
 from collections.abc import Callable
 
 
-def read_clock() -> float:
-    """Return seconds that never go back and go on while the machine is suspended.
+def read_monotonic_clock() -> float:
+    """Return monotonic seconds that also advance while the machine is suspended.
 
-    The ordinary monotonic clock stands still in a suspended virtual machine, whose
-    leader would wake up and think that no time had passed. The time of day jumps.
+    CLOCK_MONOTONIC stops while a virtual machine is suspended: a leader on it would
+    resume as if no time had passed. The wall clock may be stepped.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def make_shared_clock(
+def make_wall_clock(
     read_wall: Callable[[], float] = time.time,
-    read_steady: Callable[[], float] = read_clock,
+    read_monotonic: Callable[[], float] = read_monotonic_clock,
 ) -> Callable[[], float]:
-    """Return a clock whose seconds other hosts understand and that never jumps.
+    """Return a clock of seconds since the Unix epoch that is never stepped.
 
-    Deadlines that travel between hosts need a common origin, the time of day. It may be
-    set while a process runs: a step of seconds would end leases and warm-ups early or
-    keep them for ever. So it is read once, and the steady clock goes on from there.
+    Deadlines sent between hosts need a common origin, the Unix epoch. The wall clock
+    may be set while the process runs, and a step of seconds would end leases and
+    warm-ups early or extend them without limit. Therefore it is read only once, and
+    the elapsed monotonic time is added.
     """
-    offset = read_wall() - read_steady()
-    return lambda: offset + read_steady()
+    offset = read_wall() - read_monotonic()
+    return lambda: offset + read_monotonic()
 
 
-read_shared_clock = make_shared_clock()
+read_wall_clock = make_wall_clock()
--- a/ibisshunt/helpers/imports.py
+++ b/ibisshunt/helpers/imports.py
@@ -1,20 +1,19 @@
-"""Load modules while the other tasks of the process go on."""
+"""Import modules without blocking the other tasks of the process for long."""
 
 from collections.abc import Iterable
 from importlib import import_module
 
 import gevent
 
-# How long other tasks may run between two modules: without a pause the event loop does
-# not look at sockets.
-TURN_SECONDS = 0.001
+# Pause after each module. Without a pause the event loop does not poll sockets.
+PAUSE_SECONDS = 0.001
 
 
 def import_in_steps(names: Iterable[str], package: str) -> None:
-    """Import modules named relative to ``package``, with a turn for others after each.
+    """Import modules relative to ``package``; other tasks run after each of them.
 
-    An import of 60 ms at once keeps every answer back for as long.
+    A single import of 60 ms would delay all replies of the process by 60 ms.
     """
     for name in names:
         import_module(name, package)
-        gevent.sleep(TURN_SECONDS)
+        gevent.sleep(PAUSE_SECONDS)
--- a/ibisshunt/helpers/mailbox.py
+++ b/ibisshunt/helpers/mailbox.py
@@ -8,17 +8,17 @@
 
 
 class Mailbox(Generic[MessageT]):
-    """Hold a bounded number of messages for one task.
+    """Bounded queue of messages for one task.
 
-    A full mailbox refuses: an unbounded one would hide a slow reader until the
-    process runs out of memory.
+    A full mailbox rejects messages: an unbounded one would hide a slow reader until
+    the process runs out of memory.
     """
 
     def __init__(self, limit: int = 10_000) -> None:
         self._queue: Queue = Queue(maxsize=limit)
 
     def send(self, message: MessageT) -> bool:
-        """Add a message without waiting; return False when the mailbox is full."""
+        """Add a message without blocking; return False if the mailbox is full."""
         try:
             self._queue.put_nowait(message)
         except Full:
@@ -33,5 +33,5 @@
             return None
 
     def __len__(self) -> int:
-        """Count the waiting messages."""
+        """Return the number of queued messages."""
         return self._queue.qsize()
--- a/ibisshunt/helpers/metrics.py
+++ b/ibisshunt/helpers/metrics.py
@@ -1,4 +1,4 @@
-"""Count what happens and render it for Prometheus."""
+"""Collect metrics and render them for Prometheus."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class Metrics:
-    """Hold the metrics of one process or one part of it."""
+    """Metrics of one process or of one component."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -19,27 +19,31 @@
         self._collectors: list[Callable[[], Iterable[Sample]]] = []
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a counter."""
-        self._find(name, Counter).add(labels, amount)
+        """Increase a counter."""
+        self._get_or_create(name, Counter).add(labels, amount)
 
     def set(self, name: str, value: float, **labels: str) -> None:
         """Set a gauge."""
-        self._find(name, Gauge).set(labels, value)
+        self._get_or_create(name, Gauge).set(labels, value)
 
     def collect(self, callback: Callable[[], Iterable[Sample]]) -> None:
-        """Ask a task for its samples whenever the metrics are rendered."""
+        """Register a callback that returns samples each time the page is rendered."""
         self._collectors.append(callback)
 
     def render(self, accepts: tuple[str, ...] = ()) -> tuple[bytes, dict[str, str]]:
-        """Return the page and its headers."""
+        """Return the metrics page and its HTTP headers."""
         for callback in self._collectors:
             for sample in callback():
-                kind = Counter if sample.kind == SampleKind.COUNTER else Gauge
-                self._find(sample.name, kind).set(sample.labels, sample.value)
+                metric_class = Counter if sample.kind == SampleKind.COUNTER else Gauge
+                self._get_or_create(sample.name, metric_class).set(
+                    sample.labels, sample.value
+                )
         return render(self._registry, list(accepts))
 
-    def _find(self, name: str, kind: Any) -> Any:
+    def _get_or_create(self, name: str, metric_class: Any) -> Any:
         if name not in self._metrics:
-            doc = name.replace("_", " ")
-            self._metrics[name] = kind(name, doc, registry=self._registry)
+            description = name.replace("_", " ")
+            self._metrics[name] = metric_class(
+                name, description, registry=self._registry
+            )
         return self._metrics[name]
--- a/ibisshunt/helpers/refusals.py
+++ b/ibisshunt/helpers/refusals.py
@@ -1,4 +1,4 @@
-"""Count what was refused, and log it without flooding the log."""
+"""Count refused packets and log them without flooding the log."""
 
 from collections import Counter
 from typing import Any, Final
@@ -9,10 +9,10 @@
 
 
 class RefusalCounter:
-    """Count refusals by reason; pass them on about once a second.
+    """Count refused packets by reason; flushed about once a second.
 
-    A refused packet must cost one addition: who floods a node with bad packets must
-    not fill its log as well.
+    A refused packet costs a single addition and gets no separate log line: a flood of
+    invalid packets must not fill the log as well.
     """
 
     def __init__(self, role: str) -> None:
@@ -23,11 +23,11 @@
         self.totals: Counter[str] = Counter()
 
     def count(self, reason: str) -> None:
-        """Count one refusal."""
+        """Count one refused packet."""
         self._counts[reason] += 1
 
     def flush(self, metrics: Any, now: float) -> None:
-        """Add the counts to the metrics and log them when the time has come."""
+        """Add the counts to the metrics; log them at most once per interval."""
         for reason, amount in self._counts.items():
             metrics.add(
                 "ibisshunt_packets_refused_total",
--- a/ibisshunt/helpers/relay.py
+++ b/ibisshunt/helpers/relay.py
@@ -1,4 +1,4 @@
-"""Copy bytes between two connections."""
+"""Relay TCP streams."""
 
 import struct
 from contextlib import suppress
@@ -8,58 +8,58 @@
 from gevent import socket
 
 CHUNK_BYTES: Final = 65_536
-HALF_CLOSED_SECONDS: Final = 2.0
+HALF_CLOSED_IDLE_SECONDS: Final = 2.0
 _LINGER_ZERO: Final = struct.pack("ii", 1, 0)
 
 
 class _Copy:
-    """Copy one way between two connections and count the bytes."""
+    """Copy bytes from one connection to another in a task."""
 
     def __init__(self, source: socket.socket, sink: socket.socket) -> None:
-        self.moved = 0
+        self.copied_bytes = 0
         self._source = source
         self._sink = sink
         self.task = gevent.spawn(self._run)
 
     def _run(self) -> None:
         try:
-            while part := self._source.recv(CHUNK_BYTES):
-                self._sink.sendall(part)
-                self.moved += len(part)
+            while chunk := self._source.recv(CHUNK_BYTES):
+                self._sink.sendall(chunk)
+                self.copied_bytes += len(chunk)
             self._sink.shutdown(socket.SHUT_WR)
         except OSError:
-            # Both at once: the reset also ends the copy of the other way, which may
-            # wait on one of these connections.
+            # Reset both connections: this also ends the copy in the other direction,
+            # which may be blocked on one of them.
             reset_connection(self._source)
             reset_connection(self._sink)
 
     def wait_until_idle(self, seconds: float) -> None:
-        """Return when the copy has ended or moved nothing for ``seconds``."""
-        before = -1
-        while not self.task.ready() and self.moved != before:
-            before = self.moved
+        """Block until the copy has ended or copied nothing for ``seconds``."""
+        previous_bytes = -1
+        while not self.task.ready() and self.copied_bytes != previous_bytes:
+            previous_bytes = self.copied_bytes
             self.task.join(seconds)
 
 
 def relay_streams(caller: socket.socket, target: socket.socket) -> None:
-    """Copy both ways until both sides have ended; then close both.
+    """Copy bytes in both directions until both sides have closed; then close both.
 
-    An end of file is passed on alone, so that a caller which has sent all of its
-    request still gets the whole answer. A broken side resets the other: a plain
-    close would make a partial answer look like a whole one.
+    A half-close is passed on, so that a caller that has sent its whole request and
+    closed its side still receives the whole response. If one connection breaks, the
+    other is reset: an ordinary close would make a truncated response look complete.
     """
-    upward, downward = _Copy(caller, target), _Copy(target, caller)
-    downward.task.join()
-    # The target has said all it will. A caller that never closes would hold the
-    # stream, and every planned stop, for ever.
-    upward.wait_until_idle(HALF_CLOSED_SECONDS)
+    to_target, to_caller = _Copy(caller, target), _Copy(target, caller)
+    to_caller.task.join()
+    # The target has closed its side. A caller that never closes would keep the stream
+    # open, and delay every planned stop, forever.
+    to_target.wait_until_idle(HALF_CLOSED_IDLE_SECONDS)
     caller.close()
     target.close()
-    upward.task.join()
+    to_target.task.join()
 
 
 def reset_connection(connection: socket.socket) -> None:
-    """Close with a reset, so that the peer sees an error and not an end of file."""
+    """Close with an RST, so that the peer gets an error instead of an end of file."""
     with suppress(OSError):
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
     connection.close()
--- a/ibisshunt/helpers/samples.py
+++ b/ibisshunt/helpers/samples.py
@@ -1,4 +1,4 @@
-"""Describe values that tasks keep as plain numbers, for metrics and dumps."""
+"""Define samples: values of metrics that tasks store as plain numbers."""
 
 from bisect import bisect_left
 from collections.abc import Iterator
@@ -8,14 +8,14 @@
 
 
 class SampleKind(StrEnum):
-    """Name the kinds of sample."""
+    """Kind of a sample."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """Hold one value that a task keeps as a plain number."""
+    """One value of a metric."""
 
     name: str
     kind: SampleKind
@@ -23,12 +23,12 @@
     value: float = 0.0
 
 
-# Upper ends of the buckets of a latency histogram, in seconds.
+# Upper bounds of the buckets of a latency histogram, in seconds.
 LATENCY_BOUNDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
 
 
 class LatencyHistogram:
-    """Count latencies by bucket, as Prometheus' histograms do."""
+    """Prometheus histogram of latencies."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -36,18 +36,18 @@
         self._sum = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count one latency."""
+        """Add one latency."""
         self._counts[bisect_left(LATENCY_BOUNDS, seconds)] += 1
         self._sum += seconds
 
     def list_samples(self) -> Iterator[Sample]:
         """Yield the cumulative buckets, the sum and the count."""
-        total = 0
+        cumulative_count = 0
         bounds = [*(str(bound) for bound in LATENCY_BOUNDS), "+Inf"]
         for bound, count in zip(bounds, self._counts, strict=True):
-            total += count
+            cumulative_count += count
             labels = {"le": bound}
             name = f"{self._name}_bucket"
-            yield Sample(name, SampleKind.COUNTER, labels, total)
+            yield Sample(name, SampleKind.COUNTER, labels, cumulative_count)
         yield Sample(f"{self._name}_sum", SampleKind.COUNTER, {}, self._sum)
-        yield Sample(f"{self._name}_count", SampleKind.COUNTER, {}, total)
+        yield Sample(f"{self._name}_count", SampleKind.COUNTER, {}, cumulative_count)
--- a/ibisshunt/helpers/threads.py
+++ b/ibisshunt/helpers/threads.py
@@ -1,4 +1,4 @@
-"""Run blocking calls beside the tasks of one process."""
+"""Run blocking calls in threads."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,5 +7,5 @@
 
 
 def run_in_thread(function: Callable[..., Any], args: tuple[Any, ...]) -> Any:
-    """Return the call's result; other tasks run while it waits, for a disk say."""
+    """Call a function that blocks, for example on a disk, while other tasks run."""
     return gevent.get_hub().threadpool.apply(function, args)
--- a/ibisshunt/helpers/tls.py
+++ b/ibisshunt/helpers/tls.py
@@ -1,4 +1,4 @@
-"""Read the credentials for mutual TLS between processes."""
+"""Load the credentials for mutual TLS between processes."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 def make_channel_credentials(
     settings: TlsSettings | None,
 ) -> grpc.ChannelCredentials | None:
-    """Return what a client shows, or None when TLS is off."""
+    """Return the credentials of a client, or None if TLS is disabled."""
     if settings is None:
         return None
     authority, key, certificate = _read_files(settings)
@@ -21,24 +21,24 @@
 def make_server_credentials(
     settings: TlsSettings | None,
 ) -> grpc.ServerCredentials | None:
-    """Return what a server shows and asks of its clients, or None when TLS is off."""
+    """Return the credentials of a server, or None if TLS is disabled."""
     if settings is None:
         return None
     authority, key, certificate = _read_files(settings)
-    # Clients must show a certificate too: without it any process that reaches the
-    # port could announce itself as a target and receive a service's flows.
+    # Clients need a certificate too: otherwise any process that reaches the port could
+    # announce itself as a target and receive the flows of a service.
     return grpc.ssl_server_credentials(
         [(key, certificate)], authority, require_client_auth=True
     )
 
 
 def _read_files(settings: TlsSettings) -> tuple[bytes, bytes, bytes]:
-    names = (settings.authority, settings.key, settings.certificate)
-    return tuple(_read_file(name) for name in names)
+    paths = (settings.authority, settings.key, settings.certificate)
+    return tuple(_read_file(path) for path in paths)
 
 
-def _read_file(name: str) -> bytes:
+def _read_file(path: str) -> bytes:
     try:
-        return Path(name).read_bytes()
+        return Path(path).read_bytes()
     except OSError as error:
-        raise SettingsError(Fault("read TLS file", name, str(error))) from error
+        raise SettingsError(Fault("read TLS file", path, str(error))) from error
--- a/ibisshunt/model/__init__.py
+++ b/ibisshunt/model/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the frozen data classes that every part shares."""
+"""Immutable data classes that all packages share."""
--- a/ibisshunt/model/address.py
+++ b/ibisshunt/model/address.py
@@ -1,4 +1,4 @@
-"""Describe where a process or service listens."""
+"""Define the address on which a process or service listens."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Address:
-    """Name an IPv4 address in dotted form and a port."""
+    """An IPv4 address in dotted form and a port."""
 
     ip: str
     port: int
 
     def __str__(self) -> str:
-        """Give ``ip:port``."""
+        """Return ``ip:port``."""
         return f"{self.ip}:{self.port}"
 
     def as_pair(self) -> tuple[str, int]:
-        """Return the pair that sockets take."""
+        """Return the ``(ip, port)`` tuple that the socket module uses."""
         return (self.ip, self.port)
 
 
 def read_address(text: str) -> Address:
-    """Read ``ip:port``; raise AddressError with what was found and is expected."""
+    """Parse ``ip:port``; raise AddressError if the text is malformed."""
     ip, colon, port = text.rpartition(":")
     if not colon:
         raise AddressError(Fault("parse address", "", f"{text!r} is not ip:port"))
@@ -39,14 +39,14 @@
         reason = f"{ip!r} is not an IPv4 address"
         raise AddressError(Fault("parse address", "", reason)) from error
     if not port.isdigit() or int(port) > 65_535:
-        reason = f"{port!r} is not a port 0-65535"
+        reason = f"{port!r} is not a port number from 0 to 65535"
         raise AddressError(Fault("parse address", "", reason))
     return Address(ip, int(port))
 
 
 def parse_address(text: str) -> Result[Address, Fault]:
-    """Read ``ip:port``; fail with what was found and what is expected."""
-    # Here, so that a thin host which only reads its settings is spared the import.
+    """Parse ``ip:port``; return a Fault if the text is malformed."""
+    # Imported lazily: small hosts call only read_address, which does not need it.
     from returns.result import Failure, Success
 
     try:
--- a/ibisshunt/model/configuration.py
+++ b/ibisshunt/model/configuration.py
@@ -1,4 +1,4 @@
-"""Describe the configuration that a node has in force."""
+"""Define the configuration of services and targets that a node applies."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSlice:
-    """Hold one service and its targets.
+    """The part of the configuration that belongs to one service.
 
-    ``revision`` is the position in the log that last changed this slice. Targets are
-    in the order of their incarnation. ``left_revision`` is the position at which a
-    target last left the service or its agent restarted, 0 when none ever has.
+    ``targets`` are sorted by incarnation. ``revision`` is the log index of the last
+    change to this slice. ``left_revision`` is the log index at which a target last left
+    the service or its agent restarted, 0 if that has never happened.
     """
 
     service: Service
@@ -24,13 +24,13 @@
 
     @property
     def number(self) -> int:
-        """Return the number of the service."""
+        """Return the service number."""
         return self.service.number
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Hold all slices a node knows, by service number, at one revision."""
+    """The slices that a node knows, by service number, at one revision."""
 
     revision: int = 0
     slices: Mapping[int, ServiceSlice] = field(
@@ -40,10 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationUpdate:
-    """Carry a node from ``base`` to ``revision``.
+    """Delta of a node's configuration from revision ``base`` to ``revision``.
 
-    A ``base`` of 0 makes it a snapshot: slices that it does not hold are dropped.
-    ``digest`` is taken over the whole result, so that a node sees a lost delta.
+    With a ``base`` of 0 it is a snapshot: the node drops all slices that are not in it.
+    ``digest`` covers the complete resulting configuration, so that a node detects a
+    lost delta.
     """
 
     base: int
--- a/ibisshunt/model/domains.py
+++ b/ibisshunt/model/domains.py
@@ -1,4 +1,4 @@
-"""Describe which failure domains are drained."""
+"""Define the set of drained failure domains."""
 
 from typing import Annotated
 
@@ -6,10 +6,10 @@
 
 
 class DrainedDomains(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the failure domains whose targets get no new flow.
+    """The failure domains whose targets get no new flows.
 
-    ``revision`` is the position in the log of the last order that changed them, 0
-    before the first; the highest revision is in force.
+    ``revision`` is the log index of the last change to the set, 0 before the first one;
+    nodes apply the set with the highest revision.
     """
 
     revision: Annotated[int, msgspec.Meta(ge=0)] = 0
--- a/ibisshunt/model/flow.py
+++ b/ibisshunt/model/flow.py
@@ -1,11 +1,11 @@
-"""Describe flows and packets."""
+"""Define flows and parsed packets."""
 
 from dataclasses import dataclass
 from enum import IntEnum
 
 
 class Protocol(IntEnum):
-    """Number the transport protocols as IANA does."""
+    """IP protocol number as assigned by IANA."""
 
     ICMP = 1
     TCP = 6
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowKey:
-    """Identify a flow by its 5-tuple; addresses are 32-bit numbers."""
+    """The 5-tuple that identifies a flow; IPv4 addresses are 32-bit integers."""
 
     protocol: int
     caller_ip: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PacketInfo:
-    """Describe what a forwarding decision needs to know of one packet."""
+    """The header fields of a packet that forwarding decisions use."""
 
     key: FlowKey
     syn: bool
@@ -37,8 +37,8 @@
     payload_bytes: int
 
     @property
-    def opens(self) -> bool:
-        """Tell whether the packet may open a flow."""
+    def opens_flow(self) -> bool:
+        """Return whether the packet may open a flow: UDP, or a SYN without ACK."""
         if self.key.protocol == Protocol.UDP:
             return True
         return self.syn and not self.ack
