--- a/ibisshunt/model/record.py
+++ b/ibisshunt/model/record.py
@@ -1,4 +1,4 @@
-"""Describe the records that operators write."""
+"""Define the records that operators and businesses write."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class RecordKind(StrEnum):
-    """Name the kinds of record."""
+    """Kind of a record."""
 
     BUSINESS = "business"
     SERVICE = "service"
@@ -17,14 +17,14 @@
 
 
 class SharingPolicy(StrEnum):
-    """Name how new flows are shared among the targets of a service."""
+    """Policy that shares new flows among the targets of a service."""
 
     EVEN = "even"
     HUNTING = "hunting"
 
 
 class FrontKind(StrEnum):
-    """Name what the agent offers in front of its target."""
+    """Protocol that an agent terminates in front of its target."""
 
     NONE = "none"
     HTTP = "http"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Business:
-    """Describe a business that owns services."""
+    """A business: a tenant that owns services."""
 
     name: str
     changes_per_minute: int = 60
@@ -40,9 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPolicy:
-    """Describe how requests of a service with an HTTP front are admitted.
+    """Configuration of request queueing and retries for a service with an HTTP front.
 
-    Times are in milliseconds.
+    ``queue_limit`` is the number of requests that may wait at one agent,
+    ``retention_ms`` how long the outcome of an idempotency key is kept, ``retry_share``
+    the retry budget as a fraction of the requests.
     """
 
     queue_limit: int = 256
@@ -53,10 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Describe a service: where callers reach it and how work is shared.
+    """A service: the address that callers use, and how work is shared.
 
-    ``number`` is given by control, is never used twice and travels in the header of
-    each packet. ``callers`` holds networks in CIDR form; no entry admits nobody.
+    ``callers`` are the admitted networks in CIDR notation; an empty tuple admits no
+    caller. ``slots`` is the number of requests that a target processes concurrently.
+    ``number`` is assigned by the control hosts, never reused, and part of the header of
+    each forwarded packet.
     """
 
     business: str
@@ -75,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Allow the holder of a token to change the records of one business."""
+    """Permission for the holder of a token to change the records of one business."""
 
     name: str
     business: str
@@ -84,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Ask for a target to get no new work."""
+    """Drain of one target: it gets no new flows and requests."""
 
     name: str
     business: str
@@ -94,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """Ask for the targets of a failure domain, named ``name``, to get no new work."""
+    """Drain of the failure domain ``name``: its targets get no new work."""
 
     name: str
 
@@ -104,10 +108,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Hold one accepted record.
+    """An accepted record.
 
-    ``revision`` is the position in the log at which this record last changed;
-    ``schema_version`` the version in which its business writes it.
+    ``revision`` is the log index of the last change to this record. ``schema_version``
+    is the schema version that its business uses.
     """
 
     kind: RecordKind
--- a/ibisshunt/model/settings.py
+++ b/ibisshunt/model/settings.py
@@ -1,4 +1,4 @@
-"""Describe the settings of each program."""
+"""Define the settings of each program."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """Name the PEM files for mutual TLS between processes."""
+    """Paths of the PEM files for mutual TLS between processes.
+
+    ``authority`` is the certificate of the CA that signs all certificates.
+    """
 
     certificate: str
     key: str
@@ -17,7 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlSettings:
-    """Settings of ``ibisshunt-control``."""
+    """Settings of ``ibisshunt-control``.
+
+    ``rpc`` serves the other processes, ``admin`` the metrics and state over HTTP.
+    ``peers`` are the RPC addresses of the control hosts by name.
+    """
 
     name: str
     failure_domain: str
@@ -33,7 +40,9 @@
 class BalancerSettings:
     """Settings of ``ibisshunt-balancer``.
 
-    ``replies`` is where packets towards callers go when the balancer itself answers.
+    ``control`` are the RPC addresses of the control hosts. ``packets`` receives packets
+    of callers. ``replies`` is the address to which the balancer sends its own packets
+    for callers, such as resets. ``streams`` enables the relaying of TCP streams.
     """
 
     name: str
@@ -48,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetSettings:
-    """Describe the target that an agent stands beside.
+    """Settings of an agent's local target.
 
-    ``tunnel`` takes GUE datagrams, ``streams`` the TCP connections of the target.
-    ``session`` changes when the target's process is replaced under the same name.
+    ``tunnel`` receives GUE datagrams, ``streams`` TCP connections. ``session`` changes
+    when the target's process is replaced under the same name.
     """
 
     business: str
@@ -68,8 +77,9 @@
 class AgentSettings:
     """Settings of ``ibisshunt-agent``.
 
-    ``replies`` is where packets towards callers go when the agent itself answers,
-    ``rpc`` where it takes calls of the other agents of its service.
+    ``packets`` receives datagrams of balancers and other agents, ``streams`` relayed
+    TCP streams. ``replies`` is the address to which the agent sends its own packets
+    for callers, such as resets. ``rpc`` serves the other agents of the same service.
     """
 
     name: str
--- a/ibisshunt/model/target.py
+++ b/ibisshunt/model/target.py
@@ -1,4 +1,4 @@
-"""Describe the targets that announce themselves."""
+"""Define the targets that agents announce to the control hosts."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class TargetState(StrEnum):
-    """Name the states of a target's membership."""
+    """Membership state of a target."""
 
     READY = "ready"
     SUSPECT = "suspect"
@@ -17,15 +17,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """Describe a target as its agent announces it.
-
-    ``session`` is drawn by the target's process at its start: the same target with a
-    new session is a new incarnation. ``packets`` takes datagrams from balancers and
-    other agents, ``streams`` relayed TCP streams, ``tunnel`` is the target host's own
-    GUE tunnel end. ``rpc`` takes calls of the other agents of the service; without it
-    the agent shares no requests and keeps no outcomes. ``agent_session`` is drawn by
-    the agent's process at its start: one that restarts beside a living target keeps the
-    target's incarnation, but has lost the outcomes that it kept.
+    """A target as its agent announces it.
+
+    ``session`` is a random id of the target's process: the same target with a new
+    session is a new incarnation. ``packets`` receives datagrams of balancers and other
+    agents, ``streams`` relayed TCP streams; ``tunnel`` is the GUE tunnel endpoint of
+    the target's host. ``rpc`` serves the other agents of the service; without it the
+    agent shares no requests and stores no outcomes. ``agent_session`` is a random id of
+    the agent's process: when an agent restarts while its target runs, the target keeps
+    its incarnation, but the agent has lost its stored outcomes.
     """
 
     business: str
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Describe one place of a service, as the configuration in force holds it.
+    """A target of a service as it appears in the configuration.
 
-    ``incarnation`` is given by control and is never used twice. ``warm_deadline`` is
-    wall-clock time in seconds since the epoch; until then the share grows.
+    ``incarnation`` is assigned by the control hosts and never reused. The target's
+    share of new work grows until ``warm_deadline``, in seconds since the Unix epoch.
     """
 
     announcement: Announcement
@@ -62,15 +62,15 @@
 
     @property
     def failure_domain(self) -> str:
-        """Return the failure domain that the target runs in."""
+        """Return the failure domain of the target's host."""
         return self.announcement.failure_domain
 
     @property
     def takes_new_work(self) -> bool:
-        """Tell whether new flows and requests may go to the target."""
+        """Return whether the target accepts new flows and requests."""
         return self.state == TargetState.READY
 
     @property
     def is_suspect(self) -> bool:
-        """Tell whether the target's lease has run out."""
+        """Return whether the target's lease has expired."""
         return self.state == TargetState.SUSPECT
--- a/ibisshunt/platform/__init__.py
+++ b/ibisshunt/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Translate the names, formats and calls of the users' platform; decide nothing.
+"""Translate the names, formats and HTTP calls of the users' platform.
 
-Nothing outside this folder knows the platform's names.
+Nothing outside this package uses the platform's names, and no load-balancing decision
+is made here.
 """
--- a/ibisshunt/platform/__main__.py
+++ b/ibisshunt/platform/__main__.py
@@ -3,41 +3,41 @@
 import signal
 import sys
 
-# By default the signal ends a process; one that arrives during the imports, which
-# take a small host a second, would. The settings are read afterwards anyway.
+# SIGHUP ends a process by default, and the imports take a second on a small host.
+# A signal in that time may be ignored: the settings are read after the imports.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-from .early import open_early
+from .prebinding import prebind_sockets
 
-# What calls this program waits at its sockets while the rest is imported.
-open_early(sys.argv[-1])
+# The kernel queues packets and connections at the sockets during the other imports.
+prebind_sockets(sys.argv[-1])
 
 import gevent
 
 from ..const import EXIT_BAD_INPUT, EXIT_FAILURE
 from ..core import Kernel
 from ..exceptions import IbisshuntError, SettingsError
-from ..helpers.logging import log_event, write_plainly
+from ..helpers.logging import log_event, log_to_stdout
 from .programs import PROGRAMS
 from .reloading import watch_settings
-from .settings import find_path, read_settings
+from .settings import get_settings_path, read_settings
 
 
 def main(arguments: list[str]) -> int:
-    """Run the program that is named until it is asked to stop."""
+    """Run the named program until a stop is requested; return its exit code."""
     if len(arguments) != 1 or arguments[0] not in PROGRAMS:
         print(f"expected one of: {' '.join(PROGRAMS)}", file=sys.stderr)
         return EXIT_BAD_INPUT
-    write_plainly()
+    log_to_stdout()
     kernel = Kernel()
     gevent.signal_handler(signal.SIGTERM, kernel.request_stop)
     gevent.signal_handler(signal.SIGINT, kernel.request_stop)
     try:
-        path = find_path()
+        path = get_settings_path()
         settings = read_settings(path)
         PROGRAMS[arguments[0]](kernel, settings)
         reloader = watch_settings(kernel, path, settings)
-        gevent.signal_handler(signal.SIGHUP, reloader.wake)
+        gevent.signal_handler(signal.SIGHUP, reloader.request_check)
     except SettingsError as error:
         print(error, file=sys.stderr)
         return EXIT_BAD_INPUT
--- a/ibisshunt/platform/programs.py
+++ b/ibisshunt/platform/programs.py
@@ -1,9 +1,9 @@
-"""Assemble the three programs from the product's components."""
+"""Assemble the balancer, agent and control programs from the components."""
 
 from collections.abc import Callable, Iterable
 from itertools import chain
 
-from ..components.directory.inner import InnerSocket
+from ..components.directory.internal_socket import InternalSocket
 from ..components.directory.node import NodeDirectory
 from ..coordination.directory.messages import NodeRole
 from ..core import Kernel
@@ -16,36 +16,36 @@
 from .configuration import read_configuration
 from .packet import CODEC
 
-# Where each process shows its metrics; the deploy file names it to the platform.
+# Port of each process's metrics page; the deploy file names it for the platform.
 METRICS_PORT = 9464
-# What the replicated log needs, in parts that each take some milliseconds to load.
-_LOG_MODULES = (
+# Modules of the replicated log; each takes some milliseconds to import.
+_REPLICATED_LOG_MODULES = (
     "..coordination.consensus.messages",
-    "..coordination.consensus.host",
+    "..coordination.consensus.dispatch",
     "..protocol.framed",
     "..components.consensus.driver",
     "..components.consensus.replicated_log",
     "..components.versions",
     "..components.web.wsgi",
 )
-# Name of the service that takes new seeds.
-RELOAD = "reload"
+# Name of the kernel service that is called with new seeds.
+RELOAD_SERVICE = "reload"
 
 
-def _show_metrics(
+def _serve_metrics(
     kernel: Kernel,
     settings: NodeSettings,
     *sources: Callable[[], Iterable[Sample]],
 ) -> None:
-    """Serve the metrics page; a process works without it when the port is taken."""
-    from ..components.web.metrics import answer_metrics
-    from ..components.web.small import SmallServer
+    """Serve the metrics page; the process runs without it when the port is in use."""
+    from ..components.web.metrics import make_metrics_handler
+    from ..components.web.minimal_server import MinimalHttpServer
 
     def collect() -> Iterable[Sample]:
         return chain.from_iterable(source() for source in sources)
 
     address = Address(settings.address, METRICS_PORT)
-    server = SmallServer(address, answer_metrics(collect))
+    server = MinimalHttpServer(address, make_metrics_handler(collect))
     try:
         server.start()
     except OSError as error:
@@ -58,151 +58,157 @@
     """Start a balancer."""
     from ..components.forwarding.balancer import BalancerTask
     from ..components.forwarding.checkpoints import CheckpointTask
-    from ..components.web.small import SmallServer
-    from .probe import answer_probe
+    from ..components.web.minimal_server import MinimalHttpServer
+    from .readiness import make_readiness_handler
 
-    inner = InnerSocket(settings.inner)
-    task = BalancerTask(settings, CODEC, inner)
+    internal_socket = InternalSocket(settings.internal_address)
+    task = BalancerTask(settings, CODEC, internal_socket)
 
-    def take(body: bytes) -> int | None:
+    def apply_configuration(body: bytes) -> int | None:
         try:
-            found = read_configuration(body)
+            routes = read_configuration(body)
         except ConfigurationError as error:
-            # Control checked it; the former stays in force on this node.
+            # Unexpected, because control hosts validate configurations before they
+            # distribute them. The previous configuration stays in effect.
             warn_event("configuration_refused", reason=error.fault.reason)
             return None
-        task.take_routes(found)
-        return found.version
+        task.update_routes(routes)
+        return routes.version
 
     directory = NodeDirectory(
-        inner,
+        internal_socket,
         NodeRole.BALANCER,
         settings.seeds,
-        take,
-        task.meet,
+        apply_configuration,
+        task.add_agent,
         settings.failure_domain,
-        task.finish_list,
+        task.apply_agent_list,
     )
-    task.list_peers = lambda: directory.contacts.peers
-    task.list_near = lambda: directory.contacts.near
-    task.find_drained = lambda: directory.drained
+    task.list_peers = lambda: directory.view.peers
+    task.list_same_domain_agents = lambda: directory.view.same_domain_agents
+    task.get_drained_domains = lambda: directory.drained_domains
     checkpoints = CheckpointTask(
         settings.address,
         task.balancer,
-        inner,
-        directory.list_control,
-        directory.list_heard,
-        settings.losses,
+        internal_socket,
+        directory.list_control_hosts,
+        directory.list_recent_control_hosts,
+        settings.fault_tolerance,
     )
 
     def is_ready() -> bool:
-        return not kernel.is_stopping() and task.is_usable()
+        return not kernel.is_stopping() and task.can_place_flows()
 
-    server = SmallServer(settings.ready, answer_probe(is_ready))
+    server = MinimalHttpServer(settings.ready, make_readiness_handler(is_ready))
     server.start()
 
     def unload() -> None:
-        task.wait_until_left()
+        task.drain_traffic()
         checkpoints.send()
         server.stop()
 
-    kernel.spawn("inner", inner.run)
+    kernel.spawn("inner", internal_socket.run)
     kernel.spawn("directory", directory.run)
     kernel.spawn("packets", task.run)
-    kernel.spawn("sweep", task.run_sweep)
-    kernel.spawn("recollection", checkpoints.run_asking)
+    kernel.spawn("sweep", task.run_tick)
+    kernel.spawn("recollection", checkpoints.run_recovery)
     kernel.spawn("checkpoints", checkpoints.run_sending)
     kernel.register("directory", directory, dump=directory.dump)
     kernel.register("balancer", task, unload=unload, dump=task.dump)
-    _show_metrics(kernel, settings, task.list_samples, inner.list_samples)
-    kernel.register(RELOAD, directory.contacts.take_seeds)
+    _serve_metrics(kernel, settings, task.list_samples, internal_socket.list_samples)
+    kernel.register(RELOAD_SERVICE, directory.view.set_seeds)
 
 
 def set_up_agent(kernel: Kernel, settings: NodeSettings) -> None:
     """Start an agent."""
     from ..components.forwarding.agent import AgentTask
-    from ..components.web.small import SmallServer
-    from .endpoint import answer_endpoint
+    from ..components.web.minimal_server import MinimalHttpServer
+    from .heartbeats import make_heartbeat_handler
 
-    inner = InnerSocket(settings.inner)
+    internal_socket = InternalSocket(settings.internal_address)
     directory: NodeDirectory
-    task = AgentTask(settings, CODEC, inner, lambda: directory.contacts.list_nodes())
+    task = AgentTask(
+        settings, CODEC, internal_socket, lambda: directory.view.list_nodes()
+    )
 
-    def take(body: bytes) -> int | None:
+    def apply_configuration(body: bytes) -> int | None:
         try:
-            found = read_configuration(body)
+            routes = read_configuration(body)
         except ConfigurationError as error:
             warn_event("configuration_refused", reason=error.fault.reason)
             return None
-        task.agent.take_routes(found)
-        return found.version
+        task.agent.update_routes(routes)
+        return routes.version
 
     directory = NodeDirectory(
-        inner,
+        internal_socket,
         NodeRole.AGENT,
         settings.seeds,
-        take,
-        task.meet,
+        apply_configuration,
+        task.introduce_to,
         settings.failure_domain,
-        is_empty=task.has_lost_target,
-        take_drained=task.take_drained,
+        is_empty=task.is_target_gone,
+        on_drained_domains=task.update_drained_domains,
     )
-    kernel.spawn("inner", inner.run)
+    kernel.spawn("inner", internal_socket.run)
     kernel.spawn("directory", directory.run)
     kernel.spawn("outward", task.run)
     kernel.spawn("status", task.run_status)
-    kernel.spawn("gathering", task.run_gathering)
+    kernel.spawn("gathering", task.run_aggregation)
     kernel.register("directory", directory, dump=directory.dump)
-    server = SmallServer(settings.control, answer_endpoint(task))
+    server = MinimalHttpServer(settings.control, make_heartbeat_handler(task))
     server.start()
 
     def unload() -> None:
         task.stop()
-        if task.has_lost_target():
+        if task.is_target_gone():
             directory.leave()
         server.stop()
 
     kernel.register("agent", task, unload=unload, dump=task.dump)
-    _show_metrics(kernel, settings, task.list_samples, inner.list_samples)
-    kernel.register(RELOAD, directory.contacts.take_seeds)
+    _serve_metrics(kernel, settings, task.list_samples, internal_socket.list_samples)
+    kernel.register(RELOAD_SERVICE, directory.view.set_seeds)
 
 
 def set_up_control(kernel: Kernel, settings: NodeSettings) -> None:
     """Start a control host.
 
-    What it has kept for the nodes is offered first: nothing is served without it after
-    a power loss of the fleet, and the log takes two thirds of the start to load.
+    Nodes are notified of the saved configuration before the replicated log is imported:
+    after a power loss of the whole fleet no flow is served without a configuration, and
+    that import takes two thirds of the start-up time.
     """
     from ..components.directory.archive import ArchiveTask
     from ..components.directory.control import ControlDirectory
-    from ..components.directory.known import open_files
+    from ..components.directory.saved_state import open_directory_files
     from ..coordination.versions import FleetState
     from ..helpers.threads import run_in_thread
 
-    inner = InnerSocket(settings.inner)
-    files = open_files(settings.data_folder)
+    internal_socket = InternalSocket(settings.internal_address)
+    files = open_directory_files(settings.data_folder)
     state = FleetState()
-    directory = ControlDirectory(inner, state, tuple, files)
-    archive = ArchiveTask(inner, files.files, run_in_thread)
-    kernel.spawn("inner", inner.run)
-    directory.greet()
-    import_in_steps(_LOG_MODULES, __package__)
+    directory = ControlDirectory(internal_socket, state, tuple, files)
+    archive = ArchiveTask(internal_socket, files.files, run_in_thread)
+    kernel.spawn("inner", internal_socket.run)
+    directory.notify_saved_nodes()
+    import_in_steps(_REPLICATED_LOG_MODULES, __package__)
     from ..components import versions
-    from ..components.web.wsgi import serve
-    from .operator import answer_operator
+    from ..components.web.wsgi import start_wsgi_server
+    from .operator import make_operator_handler
 
     service = versions.setup(kernel, settings, state)
-    directory.list_control = service.list_control
+    directory.list_control_hosts = service.list_control_hosts
     kernel.spawn("directory", directory.run)
     kernel.spawn("directory-files", directory.run_saving)
-    kernel.spawn("directory-drained", directory.run_drained)
-    kernel.spawn("directory-confirm", directory.run_confirming, service.is_current)
+    kernel.spawn("directory-drained", directory.run_drained_domains)
+    kernel.spawn("directory-confirm", directory.run_confirmation, service.is_current)
     kernel.spawn("flow-archive", archive.run_saving)
     kernel.register("directory", directory, dump=directory.dump)
-    server = serve(settings.control, answer_operator(service, settings.domains))
+    server = start_wsgi_server(
+        settings.control, make_operator_handler(service, settings.failure_domains)
+    )
     kernel.register("calls", server, unload=lambda: server.stop(timeout=0))
-    _show_metrics(kernel, settings, service.list_samples, inner.list_samples)
-    kernel.register(RELOAD, service.take_seeds)
+    _serve_metrics(kernel, settings, service.list_samples, internal_socket.list_samples)
+    kernel.register(RELOAD_SERVICE, service.add_seeds)
 
 
 PROGRAMS = {
--- a/ibisshunt/platform/reloading.py
+++ b/ibisshunt/platform/reloading.py
@@ -1,4 +1,4 @@
-"""Take over settings that change while a program runs."""
+"""Apply changes of the settings file while a program runs."""
 
 import os
 
@@ -8,62 +8,63 @@
 from ..exceptions import SettingsError
 from ..helpers.logging import log_event, warn_event
 from ..model.node import NodeSettings
-from .programs import RELOAD
+from .programs import RELOAD_SERVICE
 from .settings import read_settings
 
-# How often the file is looked at: it may change without a signal.
-LOOK_SECONDS = 1.0
+# The file is checked this often because it may change without a signal.
+POLL_INTERVAL_SECONDS = 1.0
 
 
 class Reloader:
-    """Own the watch over the settings file of one process."""
+    """Watch the settings file of one process and apply changes of the seeds."""
 
     def __init__(self, kernel: Kernel, path: str, settings: NodeSettings) -> None:
         self._kernel = kernel
         self._path = path
         self._settings = settings
-        self._stamp = _read_stamp(path)
-        self._signalled = Event()
+        self._file_state = _read_file_state(path)
+        self._check_requested = Event()
 
-    def wake(self) -> None:
-        """Look at the file now; safe to call from a signal handler."""
-        self._signalled.set()
+    def request_check(self) -> None:
+        """Request an immediate check; safe to call from a signal handler."""
+        self._check_requested.set()
 
     def run(self) -> None:
-        """Look at the file until killed."""
+        """Check the file for changes until killed."""
         while True:
-            signalled = self._signalled.wait(LOOK_SECONDS)
-            self._signalled.clear()
-            stamp = _read_stamp(self._path)
-            if signalled or stamp != self._stamp:
-                self._stamp = stamp
+            is_requested = self._check_requested.wait(POLL_INTERVAL_SECONDS)
+            self._check_requested.clear()
+            file_state = _read_file_state(self._path)
+            if is_requested or file_state != self._file_state:
+                self._file_state = file_state
                 self._reload()
 
     def _reload(self) -> None:
         try:
-            found = read_settings(self._path)
+            settings = read_settings(self._path)
         except SettingsError as error:
-            # The file may be half written; the former settings stay in force.
+            # The file may be half written; the previous settings stay in effect.
             warn_event("settings_refused", reason=error.fault.reason)
             return
-        if found == self._settings:
+        if settings == self._settings:
             log_event("settings_unchanged")
             return
-        self._settings = found
-        self._kernel.find(RELOAD)(found.seeds)
-        log_event("settings_taken", seeds=",".join(found.seeds))
+        self._settings = settings
+        self._kernel.find(RELOAD_SERVICE)(settings.seeds)
+        log_event("settings_taken", seeds=",".join(settings.seeds))
 
 
-def _read_stamp(path: str) -> tuple[int, int]:
+def _read_file_state(path: str) -> tuple[int, int]:
+    """Return modification time in nanoseconds and size in bytes, 0 and 0 on error."""
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return (0, 0)
-    return (found.st_mtime_ns, found.st_size)
+    return (status.st_mtime_ns, status.st_size)
 
 
 def watch_settings(kernel: Kernel, path: str, settings: NodeSettings) -> Reloader:
-    """Start to watch the file; return whom a signal wakes."""
+    """Start a task that watches the file; return its reloader."""
     reloader = Reloader(kernel, path, settings)
     kernel.spawn("settings", reloader.run)
     return reloader
--- a/ibisshunt/platform/settings.py
+++ b/ibisshunt/platform/settings.py
@@ -10,15 +10,15 @@
 from ..exceptions import AddressError, Fault, SettingsError
 from ..model.address import Address, read_address
 from ..model.node import NodeSettings
-from .early import PATH_VARIABLE
+from .prebinding import SETTINGS_PATH_VARIABLE
 
 
-class _File(msgspec.Struct, rename="pascal"):
-    """Hold what we read of the file; unknown fields are left out.
+class _SettingsFile(msgspec.Struct, rename="pascal"):
+    """The fields of the settings file that are used; others are ignored.
 
-    ``bootstrap`` is true at the very first start of the whole system alone, and
-    ``seeds`` are control addresses at the time of writing. ``zones`` gives the region
-    of each failure domain.
+    ``bootstrap`` is true only at the first start of the whole system. ``seeds``
+    are the addresses of the control hosts when the file was written. ``zones`` gives
+    the region of each failure domain.
     """
 
     node_name: str
@@ -37,70 +37,72 @@
     app: str = msgspec.field(name="app", default="")
 
 
-def find_path() -> str:
-    """Return where the settings file lies; raise SettingsError when none is named."""
-    found = os.environ.get(PATH_VARIABLE)
-    if not found:
+def get_settings_path() -> str:
+    """Return the path of the settings file; raise SettingsError when it is not set."""
+    path = os.environ.get(SETTINGS_PATH_VARIABLE)
+    if not path:
         reason = "the variable is not set, expected the path of the settings file"
-        raise SettingsError(Fault("find settings", PATH_VARIABLE, reason))
-    return found
+        raise SettingsError(Fault("find settings", SETTINGS_PATH_VARIABLE, reason))
+    return path
 
 
 def read_settings(path: str) -> NodeSettings:
-    """Return the settings; raise SettingsError with the field and what is expected."""
+    """Read the settings; raise SettingsError that names an invalid field."""
     try:
         with open(path, "rb") as stream:
-            found = tomllib.load(stream)
-        file = msgspec.convert(found, _File)
+            document = tomllib.load(stream)
+        file = msgspec.convert(document, _SettingsFile)
     except OSError as error:
-        raise _explain(path, error.strerror or str(error)) from error
+        raise _make_error(path, error.strerror or str(error)) from error
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, ValueError) as error:
-        raise _explain(path, str(error)) from error
-    return _translate(path, file)
+        raise _make_error(path, str(error)) from error
+    return _make_node_settings(path, file)
 
 
-def _translate(path: str, file: _File) -> NodeSettings:
+def _make_node_settings(path: str, file: _SettingsFile) -> NodeSettings:
     low, high = file.internal_port_range
     if high <= low:
         reason = f"InternalPortRange: found {low}-{high}, expected two ports or more"
-        raise _explain(path, reason)
+        raise _make_error(path, reason)
     listen = file.listen_addrs
-    seeds = [_parse(path, "Seeds", seed) for seed in file.seeds]
+    seeds = [_parse_address(path, "Seeds", seed) for seed in file.seeds]
     app = {"app": file.app} if file.app else {}
     return NodeSettings(
         name=file.node_name,
         address=file.ip,
         failure_domain=file.zone,
-        inner=Address(file.ip, low),
-        inner_calls=Address(file.ip, low + 1),
+        internal_address=Address(file.ip, low),
+        internal_rpc_address=Address(file.ip, low + 1),
         seeds=tuple(seed.ip for seed in seeds if seed is not None),
-        is_first_start=file.bootstrap,
-        losses=file.fault_tolerance.get("Machines", 0),
-        heartbeat=file.heartbeat_ms / 1000,
-        max_flow=float(file.bounds.get("MaxFlowS", 60)),
-        packets=_find(path, "UdpAddr", listen),
-        outward=_find(path, "outbound", listen),
-        ready=_find(path, "ReadyAddr", listen),
-        control=_find(path, "Control", listen),
-        target=_find(path, "app", app),
+        may_bootstrap=file.bootstrap,
+        fault_tolerance=file.fault_tolerance.get("Machines", 0),
+        heartbeat_seconds=file.heartbeat_ms / 1000,
+        max_flow_seconds=float(file.bounds.get("MaxFlowS", 60)),
+        packets=_parse_listen_address(path, "UdpAddr", listen),
+        outbound_address=_parse_listen_address(path, "outbound", listen),
+        ready=_parse_listen_address(path, "ReadyAddr", listen),
+        control=_parse_listen_address(path, "Control", listen),
+        target=_parse_listen_address(path, "app", app),
         service=file.service,
         data_folder=file.data_dir,
-        domains=frozenset(file.zones),
-        cold_overage=float(file.bounds.get("WarmupOverage", 1)),
-        cold_slack=float(file.bounds.get("WarmupSlack", 0)),
+        failure_domains=frozenset(file.zones),
+        warmup_overage=float(file.bounds.get("WarmupOverage", 1)),
+        warmup_slack=float(file.bounds.get("WarmupSlack", 0)),
     )
 
 
-def _find(path: str, name: str, listen: Mapping[str, str]) -> Address | None:
-    return _parse(path, name, listen[name]) if name in listen else None
+def _parse_listen_address(
+    path: str, name: str, listen: Mapping[str, str]
+) -> Address | None:
+    return _parse_address(path, name, listen[name]) if name in listen else None
 
 
-def _parse(path: str, field: str, text: str) -> Address:
+def _parse_address(path: str, field: str, text: str) -> Address:
     try:
         return read_address(text)
     except AddressError as error:
-        raise _explain(path, f"{field}: {error.fault.reason}") from error
+        raise _make_error(path, f"{field}: {error.fault.reason}") from error
 
 
-def _explain(path: str, reason: str) -> SettingsError:
+def _make_error(path: str, reason: str) -> SettingsError:
     return SettingsError(Fault("read settings", path, reason))
--- a/ibisshunt/programs.py
+++ b/ibisshunt/programs.py
@@ -1,4 +1,4 @@
-"""Assemble each program from its components."""
+"""Set up the components of each program."""
 
 from .components import admin, control as control_component, node, requests
 from .components.agent import packets as agent_packets, streams as agent_streams
@@ -18,14 +18,14 @@
 
 
 def set_up_control(kernel: Kernel, settings: ControlSettings) -> None:
-    """Start a control host."""
+    """Set up a control host."""
     kernel.register("metrics", Metrics())
     control_component.setup(kernel, settings)
     admin.setup(kernel, settings.admin)
 
 
 def set_up_balancer(kernel: Kernel, settings: BalancerSettings) -> None:
-    """Start a balancer."""
+    """Set up a balancer."""
     kernel.register("metrics", Metrics())
     credentials = make_channel_credentials(settings.tls)
     node.setup_configuration(
@@ -38,7 +38,7 @@
 
 
 def set_up_agent(kernel: Kernel, settings: AgentSettings) -> None:
-    """Start an agent beside its target."""
+    """Set up an agent, which runs on the host of its target."""
     kernel.register("metrics", Metrics())
     credentials = make_channel_credentials(settings.tls)
     service = f"{settings.target.business}/{settings.target.service}"
@@ -50,13 +50,14 @@
     agent_streams.setup(kernel, settings)
     requests.setup(kernel, settings)
     admin.setup(kernel, settings.admin)
-    # Registered last and so unloaded first: control must hear that the target leaves
-    # before the agent stops to take work, or new flows would be refused meanwhile.
+    # Registered last, so that it is unloaded first: the control hosts must be notified
+    # that the target leaves before the agent stops accepting work. Otherwise new flows
+    # would be refused in the meantime.
     kernel.register("departure", announcer, unload=announcer.leave)
 
 
 def set_up_standalone(kernel: Kernel, settings: StandaloneSettings) -> None:
-    """Start control, balancers and agents in one process."""
+    """Set up control hosts, balancers and agents in one process."""
     for control in settings.control:
         set_up_control(kernel.make_child(f"control.{control.name}"), control)
     for balancer in settings.balancers:
--- a/ibisshunt/protocol/__init__.py
+++ b/ibisshunt/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Encode what the system's own processes say to each other."""
+"""Define the messages between the system's processes and their encodings."""
--- a/ibisshunt/protocol/codec.py
+++ b/ibisshunt/protocol/codec.py
@@ -1,4 +1,4 @@
-"""Turn frozen data classes into bytes and back."""
+"""Encode data classes as MessagePack and decode them."""
 
 from typing import Any, TypeVar
 
@@ -13,18 +13,18 @@
 
 
 def encode(value: Any) -> bytes:
-    """Return the MessagePack form of a data class."""
+    """Encode a data class as MessagePack."""
     return _ENCODER.encode(value)
 
 
 def decode(data: bytes, kind: type[ValueT]) -> Result[ValueT, Fault]:
-    """Read a data class; fail with the field that does not fit."""
+    """Decode MessagePack into ``kind``; the fault names the invalid field."""
     try:
         return Success(msgspec.msgpack.decode(data, type=kind))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         return Failure(Fault("decode message", "", f"{kind.__name__}: {error}"))
 
 
-def to_plain(value: Any) -> Any:
-    """Return a form of the value that JSON can hold."""
+def to_json_value(value: Any) -> Any:
+    """Convert a value to types that JSON can represent; keys become strings."""
     return msgspec.to_builtins(value, str_keys=True)
--- a/ibisshunt/protocol/consensus.py
+++ b/ibisshunt/protocol/consensus.py
@@ -1,4 +1,4 @@
-"""Name the messages and methods between control hosts."""
+"""Define the messages and methods between control hosts."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 NOT_ACCEPTED = "not_accepted"
 UNKNOWN = "unknown"
 
-KINDS = {
+MESSAGE_TYPES = {
     kind.__name__: kind
     for kind in (
         messages.VoteRequest,
@@ -31,8 +31,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Packed:
-    """Carry an envelope; ``kind`` names the type of the message in ``body``."""
+class PackedEnvelope:
+    """An encoded envelope; ``kind`` is the class name of the message in ``body``."""
 
     cluster: str
     sender: str
@@ -43,23 +43,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeRequest:
-    """Bring envelopes to another host; answers come as envelopes of their own."""
+    """Envelopes for another host, which sends its replies as separate envelopes."""
 
-    envelopes: tuple[Packed, ...]
+    envelopes: tuple[PackedEnvelope, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeReply:
-    """Tell how many envelopes were taken; the rest were lost on purpose."""
+    """Number of envelopes that the host accepted; it dropped the others."""
 
     taken: int
 
 
 @dataclass(frozen=True, slots=True)
 class HelloRequest:
-    """Introduce a host that is no member and asks to be founded with or admitted.
+    """Introduction of a host that is not yet a member, to bootstrap or join a cluster.
 
-    ``names`` are all hosts that its settings know, in order.
+    ``names`` are all hosts in its settings, sorted.
     """
 
     host: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HelloReply:
-    """Introduce the host that answers; ``leader`` is where the leader serves."""
+    """Description of the host that replies; ``leader`` is an address, "" if unknown."""
 
     host: str
     cluster: str
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """Bring a proposal to the leader; ``timeout`` is in seconds."""
+    """A proposal forwarded to the leader; ``timeout`` is in seconds."""
 
     command: bytes
     timeout: float
@@ -88,18 +88,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardReply:
-    """Answer a proposal; ``outcome`` is accepted, not_accepted or unknown."""
+    """The outcome of a proposal: accepted, not_accepted or unknown."""
 
     outcome: str
     reply: bytes = b""
     reason: str = ""
 
     def to_result(self, peer: str) -> Result[bytes, Fault]:
-        """Return the result that the leader ``peer`` came to."""
+        """Convert the reply of the leader ``peer`` to a result."""
         if self.outcome == ACCEPTED:
             return Success(self.reply)
-        kind = NotAccepted if self.outcome == NOT_ACCEPTED else OutcomeUnknown
-        return Failure(kind("propose", peer, self.reason))
+        fault_type = NotAccepted if self.outcome == NOT_ACCEPTED else OutcomeUnknown
+        return Failure(fault_type("propose", peer, self.reason))
 
 
 EXCHANGE = Method("ConsensusExchange", ExchangeRequest, ExchangeReply)
@@ -107,10 +107,10 @@
 FORWARD = Method("ConsensusForward", ForwardRequest, ForwardReply)
 
 
-def pack(envelope: Envelope) -> Packed:
-    """Return the form that travels."""
+def pack(envelope: Envelope) -> PackedEnvelope:
+    """Encode an envelope."""
     kind = type(envelope.message).__name__
-    return Packed(
+    return PackedEnvelope(
         envelope.cluster,
         envelope.sender,
         envelope.receiver,
@@ -119,11 +119,11 @@
     )
 
 
-def unpack(packed: Packed) -> Result[Envelope, Fault]:
-    """Read an envelope; fail on an unknown kind or a field that does not fit."""
-    kind = KINDS.get(packed.kind)
+def unpack(packed: PackedEnvelope) -> Result[Envelope, Fault]:
+    """Decode an envelope; fail on an unknown kind or an invalid field."""
+    kind = MESSAGE_TYPES.get(packed.kind)
     if kind is None:
-        reason = f"unknown kind {packed.kind!r}"
+        reason = f"unknown message kind {packed.kind!r}"
         return Failure(Fault("unpack envelope", packed.sender, reason))
     result = decode(packed.body, kind)
     if fault := result.swap().value_or(None):
@@ -133,7 +133,7 @@
 
 
 def make_reply(result: Result[bytes, Fault]) -> ForwardReply:
-    """Return the form of a proposal's result that travels."""
+    """Convert the result of a proposal to a reply."""
     fault = result.swap().value_or(None)
     if fault is None:
         return ForwardReply(ACCEPTED, result.unwrap())
--- a/ibisshunt/protocol/messages.py
+++ b/ibisshunt/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Name the messages and methods between the system's processes."""
+"""Define the messages and methods that control hosts offer to other processes."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyRequest:
-    """Ask for changes; ``documents`` holds one JSON text a record.
+    """Request to change records; ``documents`` has one JSON text per record.
 
-    ``operation`` is drawn by the caller once and sent again with each resend.
+    ``operation`` is an id that the client generates once and sends with each retry.
     """
 
     operation: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordOutcome:
-    """Tell what became of one record; ``error`` is empty when it was accepted."""
+    """The outcome for one record; ``error`` is empty if it was accepted."""
 
     name: str
     revision: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyReply:
-    """Tell what became of each record, in the order of the request."""
+    """The outcome for each record, in the order of the request."""
 
     outcomes: tuple[RecordOutcome, ...]
     revision: int
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListRequest:
-    """Ask for all records of a business, or of all businesses when empty."""
+    """Request for the records of a business, or of all if ``business`` is empty."""
 
     business: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedRecord:
-    """Hold one record as its business wrote it; ``document`` is JSON text."""
+    """A record as its business wrote it; ``document`` is JSON text."""
 
     kind: RecordKind
     business: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReply:
-    """Hold the records at one revision."""
+    """The records at one revision."""
 
     records: tuple[ListedRecord, ...]
     revision: int
@@ -66,9 +66,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """Ask for the configuration from a revision on.
+    """Request for the configuration and its updates after revision ``since``.
 
-    ``services`` names ``business/service`` pairs; none means all.
+    ``services`` are names of the form ``business/service``; empty means all.
     """
 
     node: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceRequest:
-    """Announce a target, or renew its lease, or say that it leaves."""
+    """Request to announce a target or renew its lease, or to end it if ``leaving``."""
 
     announcement: Announcement
     leaving: bool = False
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceReply:
-    """Grant a lease; ``lease_seconds`` counts from the receipt of the request."""
+    """Grant of a lease of ``lease_seconds`` from the receipt of the request."""
 
     incarnation: int
     lease_seconds: float
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportRequest:
-    """Report the revision that a node has in force."""
+    """Report of the revision that a node has applied."""
 
     node: str
     role: str
@@ -105,21 +105,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportReply:
-    """Tell the newest revision that control knows."""
+    """The newest revision that the control host knows."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """Ask for the state of the whole system, or what the one host knows itself."""
+    """Request for the state of the system, or what this host knows if ``local``."""
 
     local: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """Tell what one node has in force, and how old its last report is in seconds."""
+    """The revision that a node has applied.
+
+    ``age_seconds`` is the time since the node reported it.
+    """
 
     node: str
     role: str
@@ -129,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """Tell the state of one target."""
+    """The state of one target; ``flows`` is the number of its flows."""
 
     service: str
     target: str
@@ -140,11 +143,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReply:
-    """Tell the state of the whole system at one revision.
+    """The state of the whole system at one revision.
 
-    ``unreachable`` names the control hosts that did not answer: nodes that report to
-    them may be missing. ``evacuated`` are the failure domains whose targets get no new
-    work.
+    ``unreachable`` are the control hosts that did not reply: nodes that report to them
+    may be missing. ``evacuated`` are the failure domains whose targets get no new work.
     """
 
     revision: int
--- a/ibisshunt/protocol/method.py
+++ b/ibisshunt/protocol/method.py
@@ -1,4 +1,4 @@
-"""Name a method that one process calls in another."""
+"""Define remote methods."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,7 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """Name a method and the types of its request and reply."""
+    """A remote method: its name and the types of its request and reply.
+
+    A ``streaming`` method returns any number of replies.
+    """
 
     name: str
     request: Any
@@ -17,5 +20,5 @@
 
     @property
     def path(self) -> str:
-        """Return the path that gRPC uses."""
+        """Return the path of the method in gRPC."""
         return f"/{SERVICE_NAME}/{self.name}"
--- a/ibisshunt/protocol/packet.py
+++ b/ibisshunt/protocol/packet.py
@@ -1,4 +1,4 @@
-"""Read IPv4 packets and build TCP resets."""
+"""Parse IPv4 packets and build TCP resets."""
 
 import struct
 from typing import Final
@@ -9,22 +9,25 @@
 from ..exceptions import Fault
 from ..model.flow import FlowKey, PacketInfo, Protocol
 
-# What a forwarding decision asks of a packet, as bits.
-OPENS: Final = 1
+# Properties of a packet that forwarding decisions use, as bits.
+OPENS_FLOW: Final = 1
 FIN: Final = 2
 RST: Final = 4
 ICMP_ERROR: Final = 8
 TCP: Final = 16
 
 KEY_BYTES: Final = 13
-IP_HEADER_BYTES: Final = 20
+IP_HEADER_BYTES: Final = 20  # without options
 TCP_HEADER_BYTES: Final = 20
 UDP_HEADER_BYTES: Final = 8
 ICMP_HEADER_BYTES: Final = 8
-# An ICMP error quotes the IP header and at least 8 bytes of what it is about.
+# An ICMP error quotes the IP header and at least 8 bytes of the packet that caused it.
 QUOTED_BYTES: Final = 8
+# Destination unreachable, time exceeded, parameter problem.
 ICMP_ERROR_TYPES: Final = frozenset({3, 11, 12})
+# First byte of an IPv4 header without options.
 PLAIN_IP_HEADER: Final = 0x45
+# The more-fragments flag and the fragment offset.
 FRAGMENT_MASK: Final = 0x3FFF
 RESET_TTL: Final = 64
 
@@ -32,62 +35,65 @@
 
 
 def _translate_tcp_flags(flags: int) -> int:
-    """Turn the flag byte of a TCP header into the bits above."""
-    found = TCP
+    """Convert the flag byte of a TCP header to the bits above."""
+    bits = TCP
     if flags & dpkt.tcp.TH_SYN and not flags & dpkt.tcp.TH_ACK:
-        found |= OPENS
+        bits |= OPENS_FLOW
     if flags & dpkt.tcp.TH_FIN:
-        found |= FIN
+        bits |= FIN
     if flags & dpkt.tcp.TH_RST:
-        found |= RST
-    return found
+        bits |= RST
+    return bits
 
 
-# One look-up a packet instead of three tests.
+# Precomputed, because the lookup is faster than three tests per packet.
 _TCP_BITS: Final = bytes(_translate_tcp_flags(flags) for flags in range(256))
 
 
 class PacketError(ValueError):
-    """Report a packet that cannot be forwarded; the text names the reason."""
+    """A packet cannot be forwarded; the text is the reason used in counters."""
 
 
 def scan_packet(data: bytes) -> tuple[bytes, int]:
-    """Return the flow key of 13 bytes and the bits of a packet from a caller.
+    """Return the flow key (13 bytes) and the bits of a packet from a caller.
 
     The key holds protocol, caller address, service address, caller port and service
-    port as they stand in the packet. This is the hot path: it reads only what the
-    decision needs and makes no object beyond the key. Raise PacketError with
+    port in network byte order. This is the hot path: it reads only the fields that
+    forwarding needs and creates no object but the key. Raise PacketError with
     "malformed", "fragment", "icmp" or "protocol".
     """
     size = len(data)
     if size < IP_HEADER_BYTES:
         raise PacketError("malformed")
-    # Later fragments carry no ports, so that no node could find their flow.
+    # Fragments after the first have no ports, so their flow is unknown.
     if (data[6] << 8 | data[7]) & FRAGMENT_MASK:
         raise PacketError("fragment")
-    start = IP_HEADER_BYTES
+    payload_start = IP_HEADER_BYTES
     if data[0] != PLAIN_IP_HEADER:
-        start = _measure_header(data)
+        payload_start = _parse_header_length(data)
     end = data[2] << 8 | data[3]
     protocol = data[9]
     if protocol == Protocol.TCP:
-        if not start + TCP_HEADER_BYTES <= end <= size or data[start + 12] < 0x50:
+        if (
+            not payload_start + TCP_HEADER_BYTES <= end <= size
+            or data[payload_start + 12] < 0x50
+        ):
             raise PacketError("malformed")
-        bits = _TCP_BITS[data[start + 13]]
+        bits = _TCP_BITS[data[payload_start + 13]]
     elif protocol == Protocol.UDP:
-        if not start + UDP_HEADER_BYTES <= end <= size:
+        if not payload_start + UDP_HEADER_BYTES <= end <= size:
             raise PacketError("malformed")
-        bits = OPENS
+        bits = OPENS_FLOW
     elif protocol == Protocol.ICMP:
-        return _scan_icmp(data, start), ICMP_ERROR
+        return _scan_icmp(data, payload_start), ICMP_ERROR
     else:
         raise PacketError("protocol")
-    if start == IP_HEADER_BYTES:
+    if payload_start == IP_HEADER_BYTES:
         return data[9:10] + data[12:24], bits
-    return data[9:10] + data[12:20] + data[start : start + 4], bits
+    return data[9:10] + data[12:20] + data[payload_start : payload_start + 4], bits
 
 
-def _measure_header(data: bytes) -> int:
+def _parse_header_length(data: bytes) -> int:
     """Return the length of an IPv4 header with options, in bytes."""
     length = (data[0] & 0x0F) * 4
     if data[0] >> 4 != 4 or not IP_HEADER_BYTES <= length < len(data):
@@ -95,60 +101,63 @@
     return length
 
 
-def _scan_icmp(data: bytes, start: int) -> bytes:
-    """Return the key of the flow that an ICMP error is about.
+def _scan_icmp(data: bytes, payload_start: int) -> bytes:
+    """Return the key of the flow that an ICMP error refers to.
 
-    The quoted packet went from the service to the caller, so that its ends are
-    turned round to give the key that the flow's own packets have.
+    The quoted packet went from the service to the caller: source and destination are
+    swapped to give the key of the caller's packets.
     """
-    quoted = data[start + ICMP_HEADER_BYTES :]
+    quoted = data[payload_start + ICMP_HEADER_BYTES :]
     if len(quoted) < IP_HEADER_BYTES + QUOTED_BYTES:
         raise PacketError("malformed")
-    if data[start] not in ICMP_ERROR_TYPES:
+    if data[payload_start] not in ICMP_ERROR_TYPES:
         raise PacketError("icmp")
-    inner = _measure_header(quoted)
+    ports_start = _parse_header_length(quoted)
     protocol = quoted[9]
-    if protocol not in (Protocol.TCP, Protocol.UDP) or len(quoted) < inner + 4:
+    if protocol not in (Protocol.TCP, Protocol.UDP) or len(quoted) < ports_start + 4:
         raise PacketError("icmp")
-    # An error whose quote names another service must not pass as one of this one.
+    # Reject errors sent to this service that quote a packet of another service.
     if quoted[12:16] != data[16:20]:
         raise PacketError("icmp")
-    ports = quoted[inner + 2 : inner + 4] + quoted[inner : inner + 2]
+    ports = (
+        quoted[ports_start + 2 : ports_start + 4]
+        + quoted[ports_start : ports_start + 2]
+    )
     return quoted[9:10] + quoted[16:20] + quoted[12:16] + ports
 
 
 def unpack_key(key: bytes) -> FlowKey:
-    """Return the 5-tuple that a key of 13 bytes holds."""
+    """Decode a key of 13 bytes to a 5-tuple."""
     protocol, caller_ip, service_ip, caller_port, service_port = _KEY.unpack(key)
     return FlowKey(protocol, caller_ip, caller_port, service_ip, service_port)
 
 
 def pack_key(key: FlowKey) -> bytes:
-    """Return the 13 bytes that stand for a 5-tuple."""
+    """Encode a 5-tuple as a key of 13 bytes."""
     return _KEY.pack(
         key.protocol, key.caller_ip, key.service_ip, key.caller_port, key.service_port
     )
 
 
 def read_packet(data: bytes) -> Result[PacketInfo, Fault]:
-    """Read a TCP or UDP packet whole; refuse all else with the reason."""
+    """Parse a TCP or UDP packet; fail with the reason for any other packet."""
     try:
         key, bits = scan_packet(data)
-        found = dpkt.ip.IP(data)
+        packet = dpkt.ip.IP(data)
     except (PacketError, dpkt.UnpackError) as error:
         return Failure(Fault("read packet", "", str(error) or "malformed"))
     if bits & ICMP_ERROR:
         return Failure(Fault("read packet", "", "icmp"))
-    if isinstance(found.data, dpkt.udp.UDP):
-        payload = len(found.data.data)
-        info = PacketInfo(unpack_key(key), False, False, False, False, 0, 0, payload)
+    if isinstance(packet.data, dpkt.udp.UDP):
+        size = len(packet.data.data)
+        info = PacketInfo(unpack_key(key), False, False, False, False, 0, 0, size)
         return Success(info)
-    if not isinstance(found.data, dpkt.tcp.TCP):
+    if not isinstance(packet.data, dpkt.tcp.TCP):
         return Failure(Fault("read packet", "", "malformed"))
-    return Success(_describe_tcp(unpack_key(key), found.data))
+    return Success(_make_tcp_info(unpack_key(key), packet.data))
 
 
-def _describe_tcp(key: FlowKey, segment: dpkt.tcp.TCP) -> PacketInfo:
+def _make_tcp_info(key: FlowKey, segment: dpkt.tcp.TCP) -> PacketInfo:
     return PacketInfo(
         key,
         syn=bool(segment.flags & dpkt.tcp.TH_SYN),
@@ -162,10 +171,10 @@
 
 
 def make_reset(info: PacketInfo) -> bytes | None:
-    """Return the IPv4 packet that resets the flow, as RFC 9293 section 3.10.7.1 says.
+    """Return an IPv4 packet with the RST that RFC 9293 section 3.10.7.1 requires.
 
-    Return None for UDP and for a packet that itself is a reset: answering a reset
-    with a reset would never end.
+    Return None for UDP and for a packet that is itself an RST: answering an RST with
+    an RST could go on forever.
     """
     if info.key.protocol != Protocol.TCP or info.rst:
         return None
--- a/ibisshunt/protocol/preamble.py
+++ b/ibisshunt/protocol/preamble.py
@@ -1,4 +1,8 @@
-"""Introduce a relayed TCP stream to the agent that is to take it."""
+"""Exchange the preamble of a relayed TCP stream between balancer and agent.
+
+The balancer sends a length of two bytes and a MessagePack body before the caller's
+bytes; the agent replies with a verdict of one byte.
+"""
 
 import struct
 from dataclasses import dataclass
@@ -18,7 +22,10 @@
 
 
 class Verdict(IntEnum):
-    """Answer a preamble; no byte of the caller's goes on before TAKEN."""
+    """Reply of an agent to a preamble.
+
+    The balancer relays none of the caller's bytes before it receives TAKEN.
+    """
 
     TAKEN = 1
     WRONG_SERVICE = 2
@@ -31,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Preamble:
-    """Name the service, the target and the caller of a stream."""
+    """The service, target and caller of a stream."""
 
     service_number: int
     incarnation: int
@@ -40,7 +47,7 @@
 
 
 def send_preamble(connection: socket.socket, preamble: Preamble) -> None:
-    """Write the preamble; raise OSError when the connection breaks."""
+    """Send a preamble; raise OSError if the connection breaks."""
     body = encode(preamble)
     connection.sendall(LENGTH.pack(len(body)) + body)
 
@@ -48,10 +55,10 @@
 def receive_preamble(
     connection: socket.socket, timeout: float
 ) -> Result[Preamble, Fault]:
-    """Read the preamble within ``timeout`` seconds."""
+    """Receive a preamble; fail if it does not arrive within ``timeout`` seconds."""
     step = "receive preamble"
     try:
-        with gevent.Timeout(timeout, TimeoutError("no preamble in time")):
+        with gevent.Timeout(timeout, TimeoutError("no preamble within the timeout")):
             (length,) = LENGTH.unpack(_receive(connection, LENGTH.size))
             body = _receive(connection, length)
     except (OSError, EOFError) as error:
@@ -60,27 +67,27 @@
 
 
 def send_verdict(connection: socket.socket, verdict: Verdict) -> None:
-    """Write the verdict; raise OSError when the connection breaks."""
+    """Send a verdict; raise OSError if the connection breaks."""
     connection.sendall(bytes([verdict]))
 
 
 def receive_verdict(
     connection: socket.socket, timeout: float
 ) -> Result[Verdict, Fault]:
-    """Read the verdict within ``timeout`` seconds."""
+    """Receive a verdict; fail if it does not arrive within ``timeout`` seconds."""
     step = "receive verdict"
     try:
-        with gevent.Timeout(timeout, TimeoutError("no verdict in time")):
+        with gevent.Timeout(timeout, TimeoutError("no verdict within the timeout")):
             return Success(Verdict(_receive(connection, VERDICT_BYTES)[0]))
     except (OSError, EOFError, ValueError) as error:
         return Failure(Fault(step, "", str(error)))
 
 
 def _receive(connection: socket.socket, size: int) -> bytes:
-    parts = bytearray()
-    while len(parts) < size:
-        part = connection.recv(size - len(parts))
-        if not part:
-            raise EOFError(f"closed after {len(parts)} of {size} bytes")
-        parts += part
-    return bytes(parts)
+    received = bytearray()
+    while len(received) < size:
+        chunk = connection.recv(size - len(received))
+        if not chunk:
+            raise EOFError(f"connection closed after {len(received)} of {size} bytes")
+        received += chunk
+    return bytes(received)
--- a/ibisshunt/protocol/records.py
+++ b/ibisshunt/protocol/records.py
@@ -1,23 +1,23 @@
-"""Name the messages that tell operators what changed."""
+"""Define the messages for the change history of records."""
 
 from dataclasses import dataclass
 
-from ..coordination.records.history import Entry
+from ..coordination.records.history import HistoryEntry
 from .method import Method
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryRequest:
-    """Ask for the latest changes of a business, or of all when empty."""
+    """Request for the latest changes of a business, or of all if it is empty."""
 
     business: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryReply:
-    """Hold the entries, oldest first, at one revision."""
+    """The history entries, oldest first, at one revision."""
 
-    entries: tuple[Entry, ...]
+    entries: tuple[HistoryEntry, ...]
     revision: int
 
 
--- a/ibisshunt/protocol/requests.py
+++ b/ibisshunt/protocol/requests.py
@@ -1,30 +1,30 @@
-"""Name the messages between the agents of one service."""
+"""Define the messages and methods between the agents of one service."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-from ..coordination.requests.outcomes import (
+from ..coordination.requests.load_sharing import Load
+from ..coordination.requests.messages import (
     Attempt,
     Claim,
     ClaimReply,
-    Copy,
     Fetch,
+    FetchReply,
     Settle,
 )
-from ..coordination.requests.sharing import Load
 from .method import Method
 
 
 class Outcome(StrEnum):
-    """Name what a caller is told of its request, in ``Ibisshunt-Outcome``."""
+    """Outcome of a request, sent to its caller in the ``Ibisshunt-Outcome`` header."""
 
     DONE = "done"
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
-class PartKind(StrEnum):
-    """Name the parts of an answer, in their order; a refusal stands alone."""
+class ResponsePartKind(StrEnum):
+    """Kind of a response part: HEAD, DATA, END in order, or one REFUSAL."""
 
     HEAD = "head"
     DATA = "data"
@@ -34,9 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """Tell who sends to whom, and how busy the sender is.
+    """The incarnations of sender and receiver, and the load of the sender.
 
-    ``receiver`` is checked: an address may belong to another service by now.
+    The receiver checks ``receiver``, because its address may previously have belonged
+    to an agent of another service.
     """
 
     sender: int
@@ -46,9 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Hold one whole request of a caller.
+    """A complete HTTP request of a caller.
 
-    ``key`` is the hash of its idempotency key, empty without one.
+    ``key`` is the hash of its idempotency key, empty if it has none. ``fingerprint``
+    is a hash of the request, which distinguishes a retry from a reuse of the key for
+    another request.
     """
 
     method: str
@@ -61,10 +64,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """Carry one part of an answer."""
+class ResponsePart:
+    """One part of a response; which fields are set depends on ``kind``.
 
-    kind: PartKind
+    ``retry_after`` is in seconds.
+    """
+
+    kind: ResponsePartKind
     status: int = 0
     reason: str = ""
     headers: tuple[tuple[str, str], ...] = ()
@@ -75,8 +81,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandRequest:
-    """Hand over a request that has not started; ``seconds_left`` to its deadline."""
+class HandOverRequest:
+    """A queued request that is handed over; it expires after ``seconds_left``."""
 
     envelope: Envelope
     request: Request
@@ -87,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PullRequest:
-    """Tell a load, and ask for a request when ``idle``."""
+    """Report of the sender's load; requests queued requests if ``idle``."""
 
     envelope: Envelope
     idle: bool
@@ -95,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PullReply:
-    """Tell how many requests are being handed over."""
+    """The number of requests that the peer hands over."""
 
     load: Load
     count: int
@@ -103,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimCall:
-    """Carry a claim to a holder."""
+    """A claim of an idempotency key, sent to a replica."""
 
     envelope: Envelope
     claim: Claim
@@ -111,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswer:
-    """Carry a holder's reply."""
+    """A replica's reply to a claim."""
 
     reply: ClaimReply
     load: Load
@@ -119,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettleCall:
-    """Carry an outcome to a holder."""
+    """The outcome of a request, sent to a replica."""
 
     envelope: Envelope
     settle: Settle
@@ -127,21 +133,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SettleAnswer:
-    """Confirm an outcome."""
+    """Confirmation that a replica stored an outcome."""
 
     load: Load
 
 
 @dataclass(frozen=True, slots=True)
 class FetchCall:
-    """Carry a fetch of records."""
+    """A request for ledger records, sent to a replica."""
 
     envelope: Envelope
     fetch: Fetch
 
 
-HAND = Method("Hand", HandRequest, Part, streaming=True)
+HAND_OVER = Method("Hand", HandOverRequest, ResponsePart, streaming=True)
 PULL = Method("Pull", PullRequest, PullReply)
 CLAIM = Method("Claim", ClaimCall, ClaimAnswer)
 SETTLE = Method("Settle", SettleCall, SettleAnswer)
-FETCH = Method("Fetch", FetchCall, Copy)
+FETCH = Method("Fetch", FetchCall, FetchReply)
--- a/ibisshunt/protocol/rpc.py
+++ b/ibisshunt/protocol/rpc.py
@@ -1,4 +1,4 @@
-"""Call methods of other processes over gRPC, with typed messages."""
+"""Call methods of other processes over gRPC."""
 
 from collections.abc import Callable, Mapping
 from concurrent.futures import ThreadPoolExecutor
@@ -13,15 +13,15 @@
 from .codec import encode
 from .method import SERVICE_NAME, Method
 
-# How long a connection may bring nothing before its peer is asked for a sign of life,
-# and how long that may take: together below a lease, so that a node whose connection
-# went silent has a new one before its lease ends.
+# A connection that has received nothing for KEEPALIVE_SECONDS sends a ping, which has
+# to be answered within KEEPALIVE_TIMEOUT_SECONDS. Together they are shorter than a
+# lease, so that a node reconnects before its lease expires.
 KEEPALIVE_SECONDS = LEASE_SECONDS / 2
 KEEPALIVE_TIMEOUT_SECONDS = LEASE_SECONDS / 3
 
-# How long an attempt to connect may take: a dark host is left for the next one before a
-# lease ends.
-CONNECT_SECONDS = HEARTBEAT_SECONDS / 2
+# Short enough that a node tries another control host before its lease expires if the
+# first one is unreachable.
+CONNECT_TIMEOUT_SECONDS = HEARTBEAT_SECONDS / 2
 
 CHANNEL_OPTIONS = (
     ("grpc.max_receive_message_length", 64 * 1024 * 1024),
@@ -29,21 +29,22 @@
     ("grpc.enable_retries", 0),
     ("grpc.enable_http_proxy", 0),
     ("grpc.initial_reconnect_backoff_ms", 100),
-    # In spite of its name the time that each attempt gets. With 0.1 s a peer whose
-    # handshake took longer could not be reached at all ("tcp handshaker shutdown").
-    ("grpc.min_reconnect_backoff_ms", int(1000 * CONNECT_SECONDS)),
+    # Despite its name this is the timeout of each connection attempt. With 0.1 s, peers
+    # with a slower handshake were unreachable ("tcp handshaker shutdown").
+    ("grpc.min_reconnect_backoff_ms", int(1000 * CONNECT_TIMEOUT_SECONDS)),
     ("grpc.max_reconnect_backoff_ms", 2000),
-    # Two programs must not share one port: half of the calls would go astray.
+    # Two processes must not share a port: the kernel would route half of the
+    # connections to the wrong process.
     ("grpc.so_reuseport", 0),
-    # A connection may fall silent for good without a reset, behind a partition or a
-    # host that lost its power: a stream would wait for its next reply for ever, and
-    # each call would run into its timeout. A ping that stays unanswered ends the
-    # connection, and the next call opens another. No limit on pings: the usual one of
-    # the library closes connections that are only asked for a sign of life.
+    # After a network partition or a power loss a connection may stay open without a
+    # reset: a stream would wait forever for its next reply, and each call would time
+    # out. An unanswered ping closes the connection, and the next call opens another.
+    # Pings are not limited: gRPC's default limit closes connections that carry only
+    # pings.
     ("grpc.keepalive_time_ms", int(1000 * KEEPALIVE_SECONDS)),
     ("grpc.keepalive_timeout_ms", int(1000 * KEEPALIVE_TIMEOUT_SECONDS)),
-    # The same for the library's own pings: one that was under way when the connection
-    # fell silent stands for the sign of life, and had a minute.
+    # The timeout of gRPC's other pings, a minute by default. If one of them is pending
+    # when the peer becomes unreachable, no keepalive ping is sent.
     ("grpc.http2.ping_timeout_ms", int(1000 * KEEPALIVE_TIMEOUT_SECONDS)),
     ("grpc.keepalive_permit_without_calls", 1),
     ("grpc.http2.max_pings_without_data", 0),
@@ -52,7 +53,7 @@
 
 
 class Channel:
-    """Hold one connection to another process."""
+    """Call methods of one process over a dedicated connection."""
 
     def __init__(
         self, address: Address, credentials: grpc.ChannelCredentials | None = None
@@ -71,7 +72,10 @@
         timeout: float = RPC_TIMEOUT_SECONDS,
         metadata: tuple[tuple[str, str], ...] = (),
     ) -> Any:
-        """Send a request and return the reply; raise RpcError after ``timeout`` s."""
+        """Send a request and return the reply.
+
+        Raise RpcError if the call fails or gets no reply within ``timeout`` seconds.
+        """
         invoke = self._channel.unary_unary(
             method.path,
             request_serializer=encode,
@@ -80,7 +84,7 @@
         try:
             return invoke(request, timeout=timeout, metadata=metadata)
         except grpc.RpcError as error:
-            raise self._explain(method, error) from error
+            raise self._make_error(method, error) from error
 
     def stream(
         self,
@@ -88,24 +92,24 @@
         request: Any,
         metadata: tuple[tuple[str, str], ...] = (),
     ) -> "Stream":
-        """Start a stream of replies."""
+        """Call a streaming method and return its replies."""
         invoke = self._channel.unary_stream(
             method.path,
             request_serializer=encode,
             response_deserializer=_make_decoder(method.reply),
         )
         replies = invoke(request, metadata=metadata)
-        return Stream(replies, lambda error: self._explain(method, error))
+        return Stream(replies, lambda error: self._make_error(method, error))
 
     def close(self) -> None:
-        """Close the connection; calls in progress fail.
+        """Close the connection; pending calls fail.
 
-        Only the task that owns the connection may close it, and no task that waits
-        in a call may be killed: either leaves gRPC waiting for itself for ever.
+        Call this only from the task that created the channel, and never kill a task
+        that waits in a call: in both cases gRPC deadlocks.
         """
         self._channel.close()
 
-    def _explain(self, method: Method, error: grpc.RpcError) -> RpcError:
+    def _make_error(self, method: Method, error: grpc.RpcError) -> RpcError:
         code = error.code().name if hasattr(error, "code") else "UNKNOWN"
         details = error.details() if hasattr(error, "details") else str(error)
         reason = f"{code}: {details}"
@@ -113,27 +117,27 @@
 
 
 class Stream:
-    """Yield the replies of one streaming call."""
+    """Iterator over the replies of one streaming call."""
 
     def __init__(
-        self, replies: Any, explain: Callable[[grpc.RpcError], RpcError]
+        self, replies: Any, make_error: Callable[[grpc.RpcError], RpcError]
     ) -> None:
         self._replies = replies
-        self._explain = explain
+        self._make_error = make_error
 
     def __iter__(self) -> "Stream":
         """Return the stream itself."""
         return self
 
     def __next__(self) -> Any:
-        """Return the next reply; raise RpcError when the stream breaks."""
+        """Return the next reply; raise RpcError if the stream breaks."""
         try:
             return next(self._replies)
         except grpc.RpcError as error:
-            raise self._explain(error) from error
+            raise self._make_error(error) from error
 
     def close(self) -> None:
-        """End the stream; whoever waits for its next reply gets an RpcError."""
+        """Cancel the call; a task that waits for the next reply gets an RpcError."""
         self._replies.cancel()
 
 
@@ -149,9 +153,12 @@
     ) -> None:
         pool = ThreadPoolExecutor(max_workers=workers)
         self._server = grpc.server(pool, options=CHANNEL_OPTIONS)
-        methods = {method.name: _bind(method, run) for method, run in handlers.items()}
-        handler = grpc.method_handlers_generic_handler(SERVICE_NAME, methods)
-        self._server.add_generic_rpc_handlers((handler,))
+        methods = {
+            method.name: _make_method_handler(method, handler)
+            for method, handler in handlers.items()
+        }
+        generic_handler = grpc.method_handlers_generic_handler(SERVICE_NAME, methods)
+        self._server.add_generic_rpc_handlers((generic_handler,))
         self.address = self._bind_port(address, credentials)
 
     def _bind_port(
@@ -168,11 +175,11 @@
         return Address(address.ip, port)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start accepting calls."""
         self._server.start()
 
     def stop(self, grace: float = 1.0) -> None:
-        """Refuse new calls and wait up to ``grace`` seconds for those in progress."""
+        """Reject new calls and wait up to ``grace`` seconds for pending ones."""
         self._server.stop(grace).wait()
 
 
@@ -180,14 +187,16 @@
     return msgspec.msgpack.Decoder(kind).decode
 
 
-def _bind(method: Method, run: Callable[..., Any]) -> grpc.RpcMethodHandler:
-    make = (
+def _make_method_handler(
+    method: Method, handler: Callable[..., Any]
+) -> grpc.RpcMethodHandler:
+    make_handler = (
         grpc.unary_stream_rpc_method_handler
         if method.streaming
         else grpc.unary_unary_rpc_method_handler
     )
-    return make(
-        run,
+    return make_handler(
+        handler,
         request_deserializer=_make_decoder(method.request),
         response_serializer=encode,
     )
--- a/ibisshunt/protocol/segments.py
+++ b/ibisshunt/protocol/segments.py
@@ -1,4 +1,4 @@
-"""Describe what a packet format must offer to balancers and agents."""
+"""Define the interface of a packet format for balancers and agents."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,18 @@
 
 
 class SegmentCodec(msgspec.Struct, frozen=True):
-    """Hold the closures of one packet format.
+    """The functions of one packet format.
 
-    ``parse_inward`` reads a caller's packet, ``parse_outward`` a target's, each None
-    when it is not one. ``mark`` returns the packet with the balancer's IPv4 address
-    (four bytes) in a field that survives a bounce. ``make_reset`` answers a caller's
-    packet with a reset. ``find_caller`` returns the caller's IPv4 address.
+    ``parse_caller_packet`` parses a packet of a caller, ``parse_target_packet`` one of
+    a target; both return None if it is malformed. ``mark_balancer`` returns the packet
+    with the balancer's IPv4 address (four bytes) in a field that a target preserves
+    when it bounces the packet. ``make_reset`` returns the RST packet that answers a
+    packet of a caller. ``get_caller_address`` returns the caller's IPv4 address in
+    dotted form.
     """
 
-    parse_inward: Callable[[bytes], Segment | None]
-    parse_outward: Callable[[bytes], Segment | None]
-    mark: Callable[[Segment, bytes], bytes]
+    parse_caller_packet: Callable[[bytes], Segment | None]
+    parse_target_packet: Callable[[bytes], Segment | None]
+    mark_balancer: Callable[[Segment, bytes], bytes]
     make_reset: Callable[[Segment], bytes]
-    find_caller: Callable[[Segment], str]
+    get_caller_address: Callable[[Segment], str]
--- a/ibisshunt/settings.py
+++ b/ibisshunt/settings.py
@@ -1,4 +1,4 @@
-"""Read and check the settings of each program."""
+"""Read and validate the settings of each program."""
 
 from pathlib import Path
 from typing import Any, TypeVar
@@ -30,25 +30,25 @@
 
 
 def check_address(value: Any) -> Address:
-    """Return the address; raise Invalid when the text is not ``ip:port``."""
+    """Parse an address; raise Invalid if the value is not of the form ``ip:port``."""
     result = parse_address(value if isinstance(value, str) else repr(value))
     if fault := result.swap().value_or(None):
         raise vol.Invalid(f"expected ip:port, {fault.reason}")
     return result.unwrap()
 
 
-def _freeze(found: list[Any]) -> tuple[Any, ...]:
-    return tuple(found)
+def _to_tuple(values: list[Any]) -> tuple[Any, ...]:
+    return tuple(values)
 
 
-def _make(kind: type[SettingsT], schema: dict[Any, Any]) -> Any:
-    """Return a validator that turns a map into a data class."""
-    return vol.All(vol.Schema(schema), lambda found: kind(**found))
+def _make_validator(settings_class: type[SettingsT], schema: dict[Any, Any]) -> Any:
+    """Return a validator that converts a mapping to a data class."""
+    return vol.All(vol.Schema(schema), lambda values: settings_class(**values))
 
 
 NAME = vol.All(str, vol.Match(r"^[a-z0-9][a-z0-9.-]{0,62}$", "expected a name"))
-ADDRESSES = vol.All([check_address], vol.Length(min=1), _freeze)
-TLS = _make(
+ADDRESSES = vol.All([check_address], vol.Length(min=1), _to_tuple)
+TLS = _make_validator(
     TlsSettings,
     {
         vol.Required("certificate"): str,
@@ -62,7 +62,7 @@
     vol.Required("admin"): check_address,
     vol.Optional("tls"): TLS,
 }
-CONTROL = _make(
+CONTROL = _make_validator(
     ControlSettings,
     {
         **COMMON,
@@ -72,7 +72,7 @@
         vol.Optional("admin_token_hash"): vol.Match(r"^([0-9a-f]{64})?$"),
     },
 )
-BALANCER = _make(
+BALANCER = _make_validator(
     BalancerSettings,
     {
         **COMMON,
@@ -82,7 +82,7 @@
         vol.Optional("replies"): check_address,
     },
 )
-TARGET = _make(
+TARGET = _make_validator(
     TargetSettings,
     {
         vol.Required("business"): NAME,
@@ -95,7 +95,7 @@
         vol.Optional("weight"): vol.All(int, vol.Range(min=1, max=10_000)),
     },
 )
-AGENT = _make(
+AGENT = _make_validator(
     AgentSettings,
     {
         **COMMON,
@@ -108,51 +108,52 @@
         vol.Optional("max_flows"): vol.All(int, vol.Range(min=1, max=10_000_000)),
     },
 )
-STANDALONE = _make(
+STANDALONE = _make_validator(
     StandaloneSettings,
     {
-        vol.Required("control"): vol.All([CONTROL], vol.Length(min=1), _freeze),
-        vol.Required("balancers"): vol.All([BALANCER], vol.Length(min=1), _freeze),
-        vol.Required("agents"): vol.All([AGENT], _freeze),
+        vol.Required("control"): vol.All([CONTROL], vol.Length(min=1), _to_tuple),
+        vol.Required("balancers"): vol.All([BALANCER], vol.Length(min=1), _to_tuple),
+        vol.Required("agents"): vol.All([AGENT], _to_tuple),
     },
 )
 
 
 def read_settings(path: Path, validate: Any) -> Any:
-    """Read a settings file in JSON with comments.
+    """Read a settings file in JSON5 and validate it.
 
-    Raise SettingsError that names the file, the key, what was found and what is
-    expected.
+    ``validate`` is one of the validators above. Raise SettingsError that names the
+    file, the key, the value found and the value expected.
     """
     try:
-        found = json5.loads(path.read_text())
+        document = json5.loads(path.read_text())
     except OSError as error:
-        raise _explain(path, "-", str(error.strerror)) from error
+        raise _make_error(path, "-", str(error.strerror)) from error
     except (ValueError, UnicodeDecodeError) as error:
-        raise _explain(path, "-", f"not JSON with comments: {error}") from error
-    return check_settings(path, found, validate)
+        raise _make_error(path, "-", f"not JSON with comments: {error}") from error
+    return check_settings(path, document, validate)
 
 
-def check_settings(path: Path, found: Any, validate: Any) -> Any:
-    """Return the settings as a data class, or raise SettingsError."""
+def check_settings(path: Path, document: Any, validate: Any) -> Any:
+    """Convert a parsed document to a data class, or raise SettingsError."""
     try:
-        return vol.Schema(validate)(found)
+        return vol.Schema(validate)(document)
     except vol.MultipleInvalid as error:
-        first = error.errors[0]
-        key = ".".join(str(part) for part in first.path) or "-"
-        value = _look_up(found, first.path)
-        reason = f"found {value!r}, {first.msg}"
-        raise _explain(path, key, reason) from error
+        first_error = error.errors[0]
+        key = ".".join(str(part) for part in first_error.path) or "-"
+        value = _get_by_path(document, first_error.path)
+        reason = f"found {value!r}, {first_error.msg}"
+        raise _make_error(path, key, reason) from error
 
 
-def _look_up(found: Any, path: list[Any]) -> Any:
+def _get_by_path(value: Any, path: list[Any]) -> Any:
+    """Return the value at the key path of a validation error, for its message."""
     for part in path:
         try:
-            found = found[getattr(part, "schema", part)]
+            value = value[getattr(part, "schema", part)]
         except (KeyError, IndexError, TypeError):
             return "nothing"
-    return found
+    return value
 
 
-def _explain(path: Path, key: str, reason: str) -> SettingsError:
+def _make_error(path: Path, key: str, reason: str) -> SettingsError:
     return SettingsError(Fault("read settings", str(path), f"key {key}: {reason}"))
--- a/measurements/capacity_forwarding.py
+++ b/measurements/capacity_forwarding.py
@@ -2,11 +2,13 @@
 
 from ibisshunt.components.directory.node import HELLO_SECONDS
 from ibisshunt.components.forwarding.agent import STATUS_SECONDS
-from ibisshunt.coordination.forwarding.restart.archive import (
+from ibisshunt.coordination.forwarding.failure_detection.suspect_pinger import (
+    PINGS_PER_SECOND,
+)
+from ibisshunt.coordination.forwarding.recovery.archive import (
     GENERATION_SECONDS,
     GENERATIONS,
 )
-from ibisshunt.coordination.forwarding.silence.suspicion import PINGS_PER_SECOND
 
 from .capacity_rows import (
     AGENTS,
@@ -61,7 +63,7 @@
             f"{statuses:,.0f} a second x {status_us:.1f} us",
             statuses * status_us / 1e6,
             "core",
-            "`coordination/forwarding/placing/targets.py`",
+            "`coordination/forwarding/placement/target_table.py`",
             CPU_LIMIT,
             groups,
         ),
@@ -79,7 +81,7 @@
             f"{TARGETS_EACH:.1f} targets a service",
             find_line("choice").at(TARGETS_EACH),
             "us",
-            "`coordination/forwarding/placing/placement.py`",
+            "`coordination/forwarding/placement/target.py`",
         ),
         Row(
             "introductions of a node",
@@ -112,14 +114,14 @@
             f"{NODES:,} nodes",
             find_line("node_file").at(NODES),
             "B",
-            "`components/directory/known.py`",
+            "`components/directory/saved_state.py`",
         ),
         Row(
             "question about one lost flow, one datagram",
             f"{AGENTS:,} agents asked",
             asked,
             "B",
-            "`coordination/forwarding/searching/search.py`",
+            "`coordination/forwarding/search/search.py`",
             DATAGRAM_BYTES,
             "asking the agents of the route's services first",
         ),
@@ -128,7 +130,7 @@
             "the most frequent answer names nobody",
             max(one["answer_bytes"] for one in figures["balancer"]),
             "B",
-            "`coordination/forwarding/searching/gathering.py`",
+            "`coordination/forwarding/search/aggregation.py`",
             DATAGRAM_BYTES,
         ),
         Row(
@@ -136,14 +138,14 @@
             f"{AGENTS:,} agents asked",
             find_line("search").at(AGENTS),
             "us",
-            "`coordination/forwarding/searching/searches.py`",
+            "`coordination/forwarding/search/manager.py`",
         ),
         Row(
             "flows that a balancer notes for its next run",
             f"{NEW_FLOWS:,} / {BALANCERS} x {COPIES} copies x {noted:.0f} B",
             NEW_FLOWS / BALANCERS * COPIES * noted,
             "B/s",
-            "`coordination/forwarding/restart/checkpoint.py`",
+            "`coordination/forwarding/recovery/checkpoint.py`",
             BYTES_LIMIT,
         ),
         Row(
@@ -151,7 +153,7 @@
             f"{notes:,.0f} a second x {noted_us:.1f} us",
             notes * noted_us / 1e6,
             "core",
-            "`coordination/forwarding/restart/archive.py`",
+            "`coordination/forwarding/recovery/archive.py`",
             CORE_LIMIT,
         ),
         Row(
@@ -159,7 +161,7 @@
             f"{kept:,.0f} flows of {GENERATIONS * GENERATION_SECONDS:.0f} s",
             find_line("archive").at(kept),
             "B",
-            "`coordination/forwarding/restart/archive.py`",
+            "`coordination/forwarding/recovery/archive.py`",
             MEMORY_LIMIT,
             "entries read from the disk when their balancer asks; 35,000 in 30 s are"
             " taken today, the rest is left out",
@@ -169,7 +171,7 @@
             f"{PINGS_PER_SECOND} a second x {figures['ping_bytes']} B",
             PINGS_PER_SECOND * figures["ping_bytes"],
             "B/s",
-            "`coordination/forwarding/silence/suspicion.py`",
+            "`coordination/forwarding/failure_detection/suspect_pinger.py`",
             BYTES_LIMIT,
         ),
     ]
--- a/measurements/capacity_nodes.py
+++ b/measurements/capacity_nodes.py
@@ -1,7 +1,7 @@
 """Work out what a balancer and an agent cost at the size to design for."""
 
 from ibisshunt.const import HEARTBEAT_SECONDS
-from ibisshunt.coordination.flows.loads import PEERS_PER_ROUND
+from ibisshunt.coordination.flows.load_reports import PEERS_PER_ROUND
 from ibisshunt.protocol.datagram import HEADER_BYTES
 
 from .capacity_rows import (
@@ -143,7 +143,7 @@
             f"{peers:.1f} peers x {LOAD_BYTES} B a second, and as many back",
             2 * peers * LOAD_BYTES,
             "B/s",
-            "flows/loads: 16 peers a round at most, never beyond the service",
+            "flows/load_reports: 16 peers a round at most, never beyond the service",
             BYTES_LIMIT,
         ),
         Row(
--- a/measurements/consensus.py
+++ b/measurements/consensus.py
@@ -24,12 +24,12 @@
 from returns.pipeline import is_successful
 
 from ibisshunt.components.consensus import (
-    Options,
+    ReplicatedLogOptions,
     StateMachine,
     make_handlers,
     setup,
 )
-from ibisshunt.components.consensus.serving import EXCHANGE, FORWARD, HELLO
+from ibisshunt.components.consensus.handlers import EXCHANGE, FORWARD, HELLO
 from ibisshunt.core import Kernel
 from ibisshunt.model.address import Address
 from ibisshunt.protocol.rpc import Server
@@ -185,7 +185,7 @@
 
 def measure_restart(folder, snapshot_entries, entries=1_000):
     """Fill one host, start it again, and time it."""
-    options = Options(snapshot_entries=snapshot_entries)
+    options = ReplicatedLogOptions(snapshot_entries=snapshot_entries)
     folder = folder / f"restart-{snapshot_entries}"
     hosts, leader = start_hosts(1, folder, options)
     callers = [
@@ -216,7 +216,7 @@
 
 def measure_cluster(count, folder, seconds):
     """Measure one cluster of some hosts."""
-    hosts, leader = start_hosts(count, folder, Options())
+    hosts, leader = start_hosts(count, folder, ReplicatedLogOptions())
     gevent.sleep(1.5)
     try:
         return {
--- a/measurements/control.py
+++ b/measurements/control.py
@@ -27,10 +27,10 @@
 from gevent.pool import Pool
 from returns.pipeline import is_successful
 
-from ibisshunt.components.consensus import Options
+from ibisshunt.components.consensus import ReplicatedLogOptions
 from ibisshunt.components.control import setup
 from ibisshunt.components.control.state import ControlState
-from ibisshunt.coordination.distribution.receiver import Received, receive
+from ibisshunt.coordination.distribution.receiver import ActiveConfiguration, receive
 from ibisshunt.coordination.distribution.sender import Sender
 from ibisshunt.coordination.records.commands import (
     AnnounceTarget,
@@ -166,7 +166,7 @@
     apply_cpu = measure_time(change_once, 50)
     since = state.store.revision - 1
     delta = state.sender.make_update(since)
-    received = receive(Received(), state.sender.make_update(0)).received
+    received = receive(ActiveConfiguration(), state.sender.make_update(0)).active
     held = replace(received.configuration, revision=since)
     heartbeat = state.sender.make_update(state.store.revision)
     empty = Sender().make_update(0)
@@ -187,7 +187,7 @@
         )
         * 1e3,
         "node_cpu_ms_per_snapshot": measure_time(
-            lambda: receive(Received(), snapshot), 3
+            lambda: receive(ActiveConfiguration(), snapshot), 3
         )
         * 1e3,
         "revisions": state.store.revision - before,
@@ -237,7 +237,7 @@
 
 def measure_restart(folder, snapshot_entries):
     """Return seconds from start to serving again after many changes."""
-    options = Options(snapshot_entries=snapshot_entries)
+    options = ReplicatedLogOptions(snapshot_entries=snapshot_entries)
     service = Service(folder, options)
     start = time.monotonic()
     write_changes(service)
--- a/measurements/control_subscribers.py
+++ b/measurements/control_subscribers.py
@@ -14,7 +14,7 @@
 
 import gevent
 
-from ibisshunt.coordination.distribution.receiver import Received, receive
+from ibisshunt.coordination.distribution.receiver import ActiveConfiguration, receive
 from ibisshunt.exceptions import RpcError
 from ibisshunt.model.address import parse_address
 from ibisshunt.protocol.messages import WATCH, WatchRequest
@@ -32,10 +32,10 @@
 
     def run(self):
         """Put each update in force until the stream ends."""
-        received = Received()
+        received = ActiveConfiguration()
         try:
             for update in self.channel.stream(WATCH, WatchRequest(self.name, 0)):
-                received = receive(received, update).received
+                received = receive(received, update).active
                 self.updates += 1
                 revision = received.configuration.revision
                 self.in_force.setdefault(revision, time.monotonic())
--- a/measurements/failures.py
+++ b/measurements/failures.py
@@ -206,14 +206,14 @@
             caller = Caller(self.fabric, Address("127.9.0.1", port), self.service)
             caller.open()
             self.callers.append(caller)
-            self.owners[caller] = caller.ask(b"first").split(b" ")[1]
+            self.owners[caller] = caller.send_request(b"first").split(b" ")[1]
 
     def ask_all(self) -> tuple[int, int]:
         """Ask on every flow; return how many broke and how many changed target."""
         broken = moved = 0
         for caller in list(self.callers):
             try:
-                owner = caller.ask(b"again").split(b" ")[1]
+                owner = caller.send_request(b"again").split(b" ")[1]
             except FlowBrokenError:
                 broken += 1
                 self.callers.remove(caller)
--- a/measurements/flows_broken.py
+++ b/measurements/flows_broken.py
@@ -110,9 +110,11 @@
         key, _ = scan_packet(packet)
         self.ports.append(port)
         self.packets[port] = packet, key
-        self.owners[port] = outcome.place
+        self.owners[port] = outcome.agent_port
         self.modulo[port] = self.find_modulo(key, number)
-        self.consistent[port] = self.tables[number].name_first(find_bucket(key))
+        self.consistent[port] = self.tables[number].find_first_incarnation(
+            find_bucket(key)
+        )
 
     def find_modulo(self, key, number):
         """Return the target that a plain modulo hash gives."""
@@ -129,11 +131,13 @@
                 self.hops[len(outcome.visits) - 1] += 1
             else:
                 self.again[outcome.reason] += 1
-            if outcome.reset or (outcome.target and outcome.place != self.owners[port]):
+            if outcome.reset or (
+                outcome.target and outcome.agent_port != self.owners[port]
+            ):
                 del self.owners[port]
         if port in self.modulo and self.modulo[port] != self.find_modulo(key, number):
             del self.modulo[port]
-        first = self.tables[number].name_first(find_bucket(key))
+        first = self.tables[number].find_first_incarnation(find_bucket(key))
         if port in self.consistent and self.consistent[port] != first:
             del self.consistent[port]
 
@@ -164,7 +168,7 @@
             self.announce()
         if step == 20:
             self.world.leave(f"t{replaced}")
-            self.world.agent_of(f"t{replaced}").set_leaving(True)
+            self.world.find_agent(f"t{replaced}").set_leaving(True)
             self.announce()
         if step == 30:
             self.add_balancer(replaced % BALANCERS)
@@ -197,13 +201,13 @@
         world.open(port)
     phases = {"before": share_hops(world, flows)}
     world.leave("t3")
-    world.spread()
+    world.publish()
     phases["target_leaves_first_packets"] = share_hops(world, flows)
     phases["target_leaves_later_packets"] = share_hops(world, flows)
     for port in range(10_000, 10_000 + flows):
         world.open(port)
     world.change("t3", state=TargetState.READY)
-    world.spread()
+    world.publish()
     phases["target_is_back_first_packets"] = share_hops(world, flows, 10_000)
     phases["target_is_back_later_packets"] = share_hops(world, flows, 10_000)
     return phases
@@ -213,7 +217,7 @@
     """Return the share of packets by extra hops, one packet a flow."""
     hops = Counter()
     for port in range(first, first + flows):
-        hops[len(world.go_on(port).visits) - 1] += 1
+        hops[len(world.send_ack(port).visits) - 1] += 1
     return {str(hop): round(count / flows, 4) for hop, count in sorted(hops.items())}
 
 
@@ -222,7 +226,7 @@
     world = World(TARGETS, sharing=sharing, max_flows=2 * flows)
     for number in range(flows):
         if number % NEW_PER_LOAD_REPORT == 0:
-            world.tell_loads()
+            world.send_loads()
         caller = f"127.3.{number // 40_000}.1"
         packet = make_tcp(SYN, port=1024 + number % 40_000, caller=caller)
         assert world.send(packet, number % 2).target
--- a/measurements/flows_rate.py
+++ b/measurements/flows_rate.py
@@ -81,7 +81,7 @@
         """Call back once."""
         callback(self.current)
 
-    def request_pull(self, revision):
+    def record_peer_revision(self, revision):
         """Do nothing: nothing is ever stale here."""
 
 
--- a/measurements/flows_state.py
+++ b/measurements/flows_state.py
@@ -142,7 +142,7 @@
     tables = [route.table for route in router._routes.values()]
     began = time.perf_counter()
     for table in tables:
-        table.list_firsts()
+        table.list_first_incarnations()
     fill = time.perf_counter() - began
     one = configuration.slices[1]
     changed = ServiceSlice(one.service, one.targets[1:], 2)
@@ -150,7 +150,7 @@
     rebuilt = router.update(Configuration(2, {**configuration.slices, 1: changed}), now)
     rebuild = time.perf_counter() - began
     began = time.perf_counter()
-    router._routes[1].table.list_firsts()
+    router._routes[1].table.list_first_incarnations()
     refill = time.perf_counter() - began
     chains, _ = measure_bytes(
         lambda: [tables[1].find_chain(bucket) for bucket in range(BUCKETS)]
@@ -232,7 +232,7 @@
 def measure_balance() -> dict:
     """Report how even the first choices of a service of 7 are."""
     table = ServiceTable(make_slice(1, 7, 1), 0.0)
-    firsts = table.list_firsts()
+    firsts = table.list_first_incarnations()
     counts = [firsts.count(one.incarnation) for one in table.targets]
     return {"most_over_mean": round(max(counts) / statistics.mean(counts), 3)}
 
--- a/measurements/forwarding.py
+++ b/measurements/forwarding.py
@@ -13,29 +13,29 @@
 
 import msgspec
 
-from ibisshunt.components.directory.inner import Message
+from ibisshunt.components.directory.internal_socket import Message
 from ibisshunt.coordination.directory.messages import Hello, NodeRole
 from ibisshunt.coordination.directory.registry import Registry
 from ibisshunt.coordination.forwarding.addresses import pack_addresses
 from ibisshunt.coordination.forwarding.messages import (
     Answer,
-    Ask,
-    Noted,
+    CheckpointEntries,
+    FlowQuery,
     Ping,
-    Relay,
-    Send,
+    RelayRequest,
+    SendMessage,
     Status,
     TargetState,
 )
-from ibisshunt.coordination.forwarding.placing.placement import choose_target
-from ibisshunt.coordination.forwarding.restart.archive import FlowArchive
-from ibisshunt.coordination.forwarding.restart.checkpoint import (
+from ibisshunt.coordination.forwarding.placement.target import choose_target
+from ibisshunt.coordination.forwarding.recovery.archive import FlowArchive
+from ibisshunt.coordination.forwarding.recovery.checkpoint import (
     ENTRIES_PER_MESSAGE,
     FlowEntry,
     pack_entries,
 )
-from ibisshunt.coordination.forwarding.searching.gathering import make_gathered
-from ibisshunt.coordination.forwarding.searching.searches import Searches
+from ibisshunt.coordination.forwarding.search.aggregation import make_aggregated
+from ibisshunt.coordination.forwarding.search.manager import SearchManager
 from ibisshunt.coordination.forwarding.segment import Segment
 from ibisshunt.coordination.forwarding.state import BalancerState
 
@@ -80,7 +80,7 @@
 def make_answer(key: bytes, number: int, hosts: list[str]) -> bytes:
     """Return the answer that brings what all agents said: that they hold no flow."""
     answers = dict.fromkeys(hosts, int(Answer.NOT_HELD))
-    return ENCODE(make_gathered(key, number, answers))
+    return ENCODE(make_aggregated(key, number, answers))
 
 
 def make_state() -> BalancerState:
@@ -90,17 +90,17 @@
 
 def time_search(state: BalancerState, hosts: list[str]) -> float:
     """Return the microseconds in which a balancer finds that a flow has ended."""
-    searches = Searches(state, 0.0)
+    searches = SearchManager(state, 0.0)
     holders = [state.targets[host] for host in hosts]
 
     def search(number: int) -> None:
         key = number.to_bytes(12, "big")
-        segment = Segment(key, b"packet", b"", 1, 2, acknowledges=True)
-        sent = searches.begin(segment, holders, (), frozenset(), 10.0)
-        assert isinstance(sent[0], Send)
+        segment = Segment(key, b"packet", b"", 1, 2, is_ack=True)
+        sent = searches.start(segment, holders, (), frozenset(), 10.0)
+        assert isinstance(sent[0], SendMessage)
         ENCODE(sent[0].message)
-        answer = make_answer(key, sent[0].message.number, hosts)
-        searches.take_gathered(DECODE(answer), 10.0)
+        answer = make_answer(key, sent[0].message.round_id, hosts)
+        searches.handle_aggregated_answers(DECODE(answer), 10.0)
 
     return time_calls(search, SEARCHES)
 
@@ -108,24 +108,30 @@
 def measure_balancer(count: int) -> dict[str, float]:
     """Return what a balancer spends on a status, and on the choice of a target."""
     state = make_state()
-    known = state.known
+    known = state.target_table
     for number in range(count):
-        known.learn(name_host(number), make_status(1), 0.0)
-    targets = known.list_of("gatepass")
+        known.update(name_host(number), make_status(1), 0.0)
+    targets = known.list_by_service("gatepass")
     hosts = [name_host(number) for number in range(count)]
     packed = [ENCODE(make_status(number + 2)) for number in range(ROUNDS)]
 
     def take(number: int) -> None:
-        known.learn(hosts[number % count], DECODE(packed[number]), 0.1)
+        known.update(hosts[number % count], DECODE(packed[number]), 0.1)
 
     return {
         "targets": count,
         "status_us": time_calls(take),
         "choice_us": time_calls(
-            lambda number: choose_target(targets, frozenset(), state.draw, 0.1)
+            lambda number: choose_target(
+                targets, frozenset(), state.random_fraction, 0.1
+            )
         ),
         "question_bytes": len(
-            ENCODE(Relay(pack_addresses(hosts), Ask(bytes(12), 1 << 31), 1 << 15))
+            ENCODE(
+                RelayRequest(
+                    pack_addresses(hosts), FlowQuery(bytes(12), 1 << 31), 1 << 15
+                )
+            )
         ),
         "answer_bytes": len(make_answer(bytes(12), 1 << 15, hosts)),
         "search_us": time_search(state, hosts),
@@ -142,18 +148,19 @@
         pack_entries(entries[first : first + ENTRIES_PER_MESSAGE])
         for first in range(0, count, ENTRIES_PER_MESSAGE)
     ]
-    noted = ENCODE(Noted(batches[0]))
+    noted = ENCODE(CheckpointEntries(batches[0]))
     archive = FlowArchive()
     balancers = [name_host(number) for number in range(len(batches))]
     tracemalloc.start()
     for balancer, batch in zip(balancers, batches, strict=True):
-        archive.take(balancer, batch)
-    archive.take_unsaved()
+        archive.add_entries(balancer, batch)
+    archive.pop_unsaved()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     again = FlowArchive()
     taken = time_calls(
-        lambda number: again.take(balancers[number], batches[number]), len(batches)
+        lambda number: again.add_entries(balancers[number], batches[number]),
+        len(batches),
     )
     return {
         "flows": count,
@@ -167,18 +174,22 @@
     """Return what a control host spends on introductions among so many agents."""
     registry = Registry()
     for number in range(count):
-        registry.take(name_host(number), Hello(NodeRole.AGENT, 61, 0), 61, (), 0.0)
-    welcome = registry.take("10.9.0.1", Hello(NodeRole.BALANCER, 61, 0), 61, (), 0.0)
+        registry.handle_hello(
+            name_host(number), Hello(NodeRole.AGENT, 61, 0), 61, (), 0.0
+        )
+    welcome = registry.handle_hello(
+        "10.9.0.1", Hello(NodeRole.BALANCER, 61, 0), 61, (), 0.0
+    )
     hello = ENCODE(Hello(NodeRole.BALANCER, 61, welcome.digest))
 
     def take(number: int) -> bytes:
-        return ENCODE(registry.take("10.9.0.1", DECODE(hello), 61, (), 0.1))
+        return ENCODE(registry.handle_hello("10.9.0.1", DECODE(hello), 61, (), 0.1))
 
     return {
         "nodes": count,
         "hello_us": time_calls(take),
         "list_bytes": len(ENCODE(welcome)),
-        "file_bytes": len(ENCODE(registry.list_known())),
+        "file_bytes": len(ENCODE(registry.list_nodes_to_save())),
     }
 
 
--- a/measurements/requests_agent.py
+++ b/measurements/requests_agent.py
@@ -70,7 +70,7 @@
         lambda connection, pair: requests.front.handle(connection, Address(*pair)),
     )
     server.start()
-    print(requests.intake.address.port, server.server_port, flush=True)
+    print(requests.peer_server.address.port, server.server_port, flush=True)
     for line in FileObject(sys.stdin.buffer, "rb"):
         configuration.put(msgspec.json.decode(line, type=ServiceSlice))
     server.stop()
--- a/measurements/requests_ledger.py
+++ b/measurements/requests_ledger.py
@@ -4,16 +4,16 @@
 import time
 import tracemalloc
 
-from ibisshunt.coordination.requests.claims import Ask, Claimant, End
-from ibisshunt.coordination.requests.handover import Holder
-from ibisshunt.coordination.requests.holders import Member, make_view
+from ibisshunt.coordination.requests.claims import Claimant, ClaimResult, SendClaim
 from ibisshunt.coordination.requests.ledger import Ledger
-from ibisshunt.coordination.requests.outcomes import (
-    Answer,
+from ibisshunt.coordination.requests.messages import (
     Attempt,
     RecordState,
     Settle,
+    StoredResponse,
 )
+from ibisshunt.coordination.requests.replica import LedgerReplica
+from ibisshunt.coordination.requests.views import Member, make_view
 from ibisshunt.protocol.codec import decode, encode
 
 KEYS = 20_000
@@ -30,15 +30,16 @@
     """Return the open holders of one service."""
     view = make_view(1, MEMBERS)
     holders = {
-        one.incarnation: Holder(one.incarnation, Ledger(600.0)) for one in MEMBERS
+        one.incarnation: LedgerReplica(one.incarnation, Ledger(600.0))
+        for one in MEMBERS
     }
     for holder in holders.values():
         holder.change_view(view, 0.0)
     for holder in holders.values():
         for source in holder.list_sources():
             fetch = holder.make_fetch(0.0)
-            holder.take_copy(holders[source].take_fetch(fetch, 0.0), 0.0)
-        holder.try_open(founding=True, now=0.0)
+            holder.handle_fetch_reply(holders[source].handle_fetch(fetch, 0.0), 0.0)
+        holder.try_open(no_departures=True, now=0.0)
     return holders
 
 
@@ -53,11 +54,11 @@
     view = holders[1].view
     claimant = Claimant(key, bytes(16), attempt, view, 10.0, 0.0)
     step = claimant.start()
-    while not isinstance(step, End):
-        assert isinstance(step, Ask)
-        reply = holders[step.holder].claim(copy(step.claim), 0.0)
-        step = claimant.take_reply(reply, 0.0)
-    return key, attempt, claimant.asked
+    while not isinstance(step, ClaimResult):
+        assert isinstance(step, SendClaim)
+        reply = holders[step.replica].claim(copy(step.claim), 0.0)
+        step = claimant.handle_reply(reply, 0.0)
+    return key, attempt, claimant.contacted_replicas
 
 
 def measure(with_answer):
@@ -66,12 +67,12 @@
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for number in range(KEYS):
-        key, attempt, asked = claim(holders, number)
+        key, attempt, contacted = claim(holders, number)
         if with_answer:
             body = number.to_bytes(BODY, "big")
-            answer = Answer(200, "OK", HEADERS, body)
+            answer = StoredResponse(200, "OK", HEADERS, body)
             settle = Settle(key, attempt, bytes(16), RecordState.DONE, answer)
-            for holder in asked:
+            for holder in contacted:
                 holders[holder].settle(copy(settle), 0.0)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -85,10 +86,10 @@
     holders = open_holders()
     began = time.perf_counter()
     for number in range(KEYS):
-        key, attempt, asked = claim(holders, number)
-        answer = Answer(200, "OK", HEADERS, bytes(BODY))
+        key, attempt, contacted = claim(holders, number)
+        answer = StoredResponse(200, "OK", HEADERS, bytes(BODY))
         settle = Settle(key, attempt, bytes(16), RecordState.DONE, answer)
-        for holder in asked:
+        for holder in contacted:
             holders[holder].settle(copy(settle), 0.0)
     return (time.perf_counter() - began) / KEYS
 
--- a/measurements/requests_queue.py
+++ b/measurements/requests_queue.py
@@ -11,10 +11,10 @@
 from itertools import count
 
 from ibisshunt.coordination.requests.admission import Admission
-from ibisshunt.coordination.requests.outcomes import Attempt
-from ibisshunt.coordination.requests.probing import Probing
-from ibisshunt.coordination.requests.sharing import Sharing, measure_load
-from ibisshunt.coordination.requests.weighting import Observations
+from ibisshunt.coordination.requests.load_sharing import LoadSharing, measure_load
+from ibisshunt.coordination.requests.messages import Attempt
+from ibisshunt.coordination.requests.pull_schedule import PullSchedule
+from ibisshunt.coordination.requests.weighting import OutlierDetector
 
 AGENTS = 7
 TICK = 0.02
@@ -55,9 +55,9 @@
         self.arrivals, self.delay, self.odd = arrivals, delay, odd
         self.draw = random.Random(5).random
         self.admission = [Admission(slots, limit) for _ in range(AGENTS)]
-        self.sharing = [Sharing() for _ in range(AGENTS)]
-        self.probing = [Probing(one) for one in self.sharing]
-        self.seen = [Observations() for _ in range(AGENTS)]
+        self.sharing = [LoadSharing() for _ in range(AGENTS)]
+        self.probing = [PullSchedule(one) for one in self.sharing]
+        self.seen = [OutlierDetector() for _ in range(AGENTS)]
         self.pulling = [False] * AGENTS
         self.events, self.order, self.now = [], count(), 0.0
         self.waits, self.refused, self.late, self.lied = [], 0, 0, 0
@@ -88,7 +88,7 @@
         load = self._load(source)
 
         def receive():
-            self.sharing[target].hear(source, load, self.now)
+            self.sharing[target].update_load(source, load, self.now)
             action(*args)
 
         self._later(self.delay, receive)
@@ -96,7 +96,7 @@
     def _arrive(self, number, agent):
         weights = self.seen[agent].weights
         own = self._load(agent)
-        peer = self.sharing[agent].choose(own, self.draw, self.now, weights)
+        peer = self.sharing[agent].choose_peer(own, self.draw, self.now, weights)
         if peer is None:
             self._offer(number, agent)
         else:
@@ -131,10 +131,10 @@
         self.good += in_time and not lies
         self.late += not in_time
         self.admission[agent].finish(attempt, None if lies else seconds)
-        self.seen[agent].note(agent, lies, seconds)
+        self.seen[agent].record(agent, lies, seconds)
         if one.agent != agent:
-            note = self.seen[one.agent].note
-            self._send(agent, one.agent, note, agent, lies, seconds)
+            record = self.seen[one.agent].record
+            self._send(agent, one.agent, record, agent, lies, seconds)
         self._start(agent)
         self._probe(agent)
 
@@ -155,7 +155,7 @@
             return
         known = tuple(one for one in range(AGENTS) if one != agent)
         idle, queued = self._is_idle(agent), self.admission[agent].queued
-        peer = self.probing[agent].choose(known, idle, queued, self.draw, self.now)
+        peer = self.probing[agent].choose_peer(known, idle, queued, self.draw, self.now)
         if peer is not None:
             self._pull(agent, peer)
 
@@ -164,17 +164,17 @@
         self._send(agent, peer, self._give, peer, agent, self._is_idle(agent))
 
     def _give(self, agent, sender, idle):
-        waiting = self.admission[agent].take_next() if idle else None
+        waiting = self.admission[agent].pop_next() if idle else None
         if waiting is not None:
             self._send(agent, sender, self._offer, waiting.attempt.number, sender)
-        longest = self.sharing[agent].find_longest(self.now)
+        longest = self.sharing[agent].find_longest_queue(self.now)
         if self._is_idle(agent) and longest == sender and not self.pulling[agent]:
             self._pull(agent, sender)
         self._send(agent, sender, self._take_reply, sender, 1 if waiting else 0)
 
     def _take_reply(self, agent, number):
         self.pulling[agent] = False
-        self.probing[agent].note_reply(number, self.now)
+        self.probing[agent].record_reply(number, self.now)
         self._probe(agent)
 
 
--- a/measurements/slopes.py
+++ b/measurements/slopes.py
@@ -9,7 +9,7 @@
 import time
 import tracemalloc
 
-from ibisshunt.coordination.distribution.receiver import Received, receive
+from ibisshunt.coordination.distribution.receiver import ActiveConfiguration, receive
 from ibisshunt.coordination.distribution.sender import Sender
 from ibisshunt.coordination.flows.router import Router
 from ibisshunt.coordination.flows.table import ServiceTable
@@ -69,7 +69,9 @@
 
 def take_in(data):
     """Put a snapshot in force as a balancer does; it fills buckets when asked."""
-    received = receive(Received(), decode(data, ConfigurationUpdate).unwrap()).received
+    received = receive(
+        ActiveConfiguration(), decode(data, ConfigurationUpdate).unwrap()
+    ).active
     router = Router()
     router.update(received.configuration, NOW)
     return received, router
@@ -86,7 +88,9 @@
         "snapshot_bytes": len(data),
         "encode_ms": measure_milliseconds(lambda: encode(update)),
         "decode_and_check_ms": measure_milliseconds(
-            lambda: receive(Received(), decode(data, ConfigurationUpdate).unwrap())
+            lambda: receive(
+                ActiveConfiguration(), decode(data, ConfigurationUpdate).unwrap()
+            )
         ),
         "balancer_bytes": memory,
         "balancer_take_in_ms": measure_milliseconds(lambda: take_in(data)),
@@ -116,7 +120,7 @@
             lambda: router.update(next(sides), NOW)
         ),
         "all_first_choices_ms": measure_milliseconds(
-            lambda: ServiceTable(changed, NOW).list_firsts()
+            lambda: ServiceTable(changed, NOW).list_first_incarnations()
         ),
     }
 
@@ -126,7 +130,7 @@
     memory, store = measure_bytes(lambda: fill_store(targets))
     found = store.list_targets()
     lease_bytes, book = measure_bytes(LeaseBook)
-    lease_bytes, _ = measure_bytes(lambda: book.restart(found, NOW))
+    lease_bytes, _ = measure_bytes(lambda: book.reset(found, NOW))
 
     def renew_all():
         for target in found:
--- a/soak/command.py
+++ b/soak/command.py
@@ -1,4 +1,4 @@
-"""Run soaks from the command line."""
+"""Run soak tests from the command line."""
 
 import sys
 import tempfile
@@ -8,23 +8,23 @@
 import click
 
 from .fleet import Fleet
-from .plan import draw_plan
+from .plan import generate_plan
 
 
-def run_once(seed, seconds, planned_only=False, folder=None, timed=True):
-    """Play one seed; return the record and the plan."""
-    plan = draw_plan(seed, seconds, planned_only)
-    fleet = Fleet(Path(folder or tempfile.mkdtemp(prefix="soak-")), seed, timed)
-    began = time.monotonic()
+def run_once(seed, seconds, planned_only=False, folder=None, checks_timing=True):
+    """Run the faults of one seed; return record, faults and the folder of the logs."""
+    faults = generate_plan(seed, seconds, planned_only)
+    fleet = Fleet(Path(folder or tempfile.mkdtemp(prefix="soak-")), seed, checks_timing)
+    started_at = time.monotonic()
     try:
-        for fault in plan:
-            time.sleep(max(0.0, began + fault.at - time.monotonic()))
-            fleet.bring(fault)
-        time.sleep(max(0.0, began + seconds - time.monotonic()))
+        for fault in faults:
+            time.sleep(max(0.0, started_at + fault.starts_at - time.monotonic()))
+            fleet.inject(fault)
+        time.sleep(max(0.0, started_at + seconds - time.monotonic()))
         fleet.finish()
     finally:
         fleet.stop()
-    return fleet.record, plan, fleet.folder
+    return fleet.record, faults, fleet.folder
 
 
 @click.command()
@@ -34,19 +34,21 @@
 @click.option("--planned", is_flag=True, help="Planned faults alone.")
 @click.option("--untimed", is_flag=True, help="Leave out promises bound to a time.")
 def main(seed, seeds, seconds, planned, untimed):
-    """Run the programs under seeded faults; exit with 1 when a promise was broken."""
+    """Run the programs under seeded faults; exit with 1 if an invariant failed."""
     failed = 0
     for number in range(seed, seed + seeds):
-        record, plan, folder = run_once(number, seconds, planned, timed=not untimed)
-        failed += bool(record.broken)
+        record, faults, folder = run_once(
+            number, seconds, planned, checks_timing=not untimed
+        )
+        failed += bool(record.violations)
         click.echo(
-            f"seed={number} faults={len(plan)} answers={record.answers} "
-            f"resets={record.resets} silences={record.silences} acked={record.acked} "
-            f"broken={len(record.broken)}"
+            f"seed={number} faults={len(faults)} answers={record.answers} "
+            f"resets={record.resets} silences={record.timeouts} "
+            f"acked={record.acked_version} broken={len(record.violations)}"
         )
-        if record.broken:
+        if record.violations:
             click.echo(f"logs: {folder}")
-            for line in (*record.broken[:20], *map(str, plan)):
+            for line in (*record.violations[:20], *map(str, faults)):
                 click.echo(f"  {line}")
     click.echo(f"{seeds - failed} passed, {failed} failed")
     sys.exit(1 if failed else 0)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,52 +1,63 @@
-"""Start the programs and stand-ins of one run, and bring faults about."""
+"""Start the programs and stand-ins of one run, and inject faults."""
 
 import signal
 import threading
 import time
 
-from .actors import GET, OTHER_SERVICE, PUT, SERVICE, Caller, Operator, make_config
-from .promises import Record
+from .actors import (
+    GET_PATH,
+    OTHER_SERVICE,
+    PUT_PATH,
+    SERVICE,
+    Caller,
+    Operator,
+    make_config,
+)
+from .invariants import Record
 from .standin import (
-    APP,
-    CONTROL,
-    OUTWARD,
-    PACKETS,
-    READY,
+    APP_PORT,
+    CONTROL_PORT,
+    OUTBOUND_PORT,
+    PACKET_PORT,
+    READY_PORT,
     Endpoint,
     Process,
     call,
     wait_for,
 )
 
-CORES = ("127.8.0.1", "127.8.0.2", "127.8.0.3")
-FRONTS = ("127.8.1.1", "127.8.1.2", "127.8.1.3")
-SIDES = ("127.8.2.1", "127.8.2.2", "127.8.2.3", "127.8.2.4")
+CONTROL_HOSTS = ("127.8.0.1", "127.8.0.2", "127.8.0.3")
+BALANCERS = ("127.8.1.1", "127.8.1.2", "127.8.1.3")
+AGENTS = ("127.8.2.1", "127.8.2.2", "127.8.2.3", "127.8.2.4")
 CALLERS = tuple(f"127.8.9.{number}" for number in range(1, 7))
-SEEDS = [f"{ip}:{CONTROL}" for ip in CORES]
-RESTART_SECONDS = 0.5
+SEEDS = [f"{ip}:{CONTROL_PORT}" for ip in CONTROL_HOSTS]
+RESTART_DELAY_SECONDS = 0.5
 
 
 class Fleet:
     """Own every process and thread of one run."""
 
-    def __init__(self, folder, seed, timed=True):
-        self.record = Record(timed)
+    def __init__(self, folder, seed, checks_timing=True):
+        self.record = Record(checks_timing)
         self.folder = folder
-        self.timers = []
-        self.is_over = False
-        self.cores = [self._start_core(ip) for ip in CORES]
-        self.fronts = [self._start_front(ip) for ip in FRONTS]
-        self.sides = [self._start_side(place) for place in range(len(SIDES))]
-        self.number = 0
-        self.endpoints = [self._start_endpoint(place) for place in range(len(SIDES))]
-        core = f"{CORES[0]}:{CONTROL}"
-        wait_for(lambda: call(core, PUT, make_config(3))[0] == 200, "a first ack")
+        self.fault_threads = []
+        self.is_stopping = False
+        self.control_hosts = [self._start_control_host(ip) for ip in CONTROL_HOSTS]
+        self.balancers = [self._start_balancer(ip) for ip in BALANCERS]
+        self.agents = [self._start_agent(index) for index in range(len(AGENTS))]
+        self.endpoint_count = 0
+        self.endpoints = [self._start_endpoint(index) for index in range(len(AGENTS))]
+        control_host = f"{CONTROL_HOSTS[0]}:{CONTROL_PORT}"
+        wait_for(
+            lambda: call(control_host, PUT_PATH, make_config(3))[0] == 200,
+            "a first ack",
+        )
         self.wait_until_ready()
-        self.keeper = threading.Thread(target=self._keep, daemon=True)
-        self.keeper.start()
-        self.operator = Operator(seed, self.record, CORES)
+        self.supervisor = threading.Thread(target=self._supervise, daemon=True)
+        self.supervisor.start()
+        self.operator = Operator(seed, self.record, CONTROL_HOSTS)
         self.callers = [
-            Caller(seed + number, self.record, ip, FRONTS)
+            Caller(seed + number, self.record, ip, BALANCERS)
             for number, ip in enumerate(CALLERS)
         ]
         for actor in (self.operator, *self.callers):
@@ -54,125 +65,131 @@
 
     def wait_until_ready(self):
         """Wait until each balancer can place flows."""
-        for ip in FRONTS:
-            where = f"{ip}:{READY}"
-            wait_for(lambda where=where: call(where, "/-/ready")[0] == 200, "ready")
-
-    def bring(self, fault):
-        """Bring a fault about; what ends later ends in a thread of its own."""
-        kind, _, what = fault.kind.partition("_")
+        for ip in BALANCERS:
+            address = f"{ip}:{READY_PORT}"
+            wait_for(
+                lambda address=address: call(address, "/-/ready")[0] == 200, "ready"
+            )
+
+    def inject(self, fault):
+        """Inject a fault; a fault with a duration runs in a thread of its own."""
+        kind, _, target = fault.kind.partition("_")
         if kind not in ("term", "hup", "drain", "change"):
-            # The fault lasts, and what it stopped starts again afterwards.
-            end = time.monotonic() + fault.lasts + RESTART_SECONDS
-            self.record.unplanned_at = max(self.record.unplanned_at, end)
+            # Flows may break until the processes that the fault stopped are back.
+            end = time.monotonic() + fault.duration + RESTART_DELAY_SECONDS
+            self.record.last_fault_at = max(self.record.last_fault_at, end)
         if kind == "hup":
             for process in self.list_processes():
-                process.send(signal.SIGHUP)
+                process.send_signal(signal.SIGHUP)
         elif kind == "change":
-            for process in (*self.fronts, *self.sides):
+            for process in (*self.balancers, *self.agents):
                 process.write(seeds=SEEDS[fault.index % 3 :])
-        elif what == "endpoint":
-            self._spawn(self._replace_endpoint, fault, kind == "drain")
+        elif target == "endpoint":
+            self._run_in_thread(self._replace_endpoint, fault, kind == "drain")
         else:
-            for process in self._choose(what, fault.index):
-                self._spawn(self._stop_and_start, process, kind, fault.lasts)
+            for process in self._choose(target, fault.index):
+                self._run_in_thread(self._stop_and_start, process, kind, fault.duration)
 
     def finish(self):
-        """Let all faults end, check the final state, and end every process."""
-        for timer in self.timers:
-            timer.join()
+        """Wait for all faults and actors to end, and check the final state."""
+        for thread in self.fault_threads:
+            thread.join()
         for actor in (self.operator, *self.callers):
-            actor.end()
+            actor.stop()
         self.wait_until_ready()
-        version = wait_for(self._read_newest, "a read at the end")
-        self.record.check_read(self.record.acked, version)
+        version = wait_for(self._read_version, "a read at the end")
+        self.record.check_read(self.record.acked_version, version)
         self.record.check_runs()
         if not self.record.answers:
-            self.record.report("something is served", answers=0)
+            self.record.report_violation("something is served", answers=0)
 
     def stop(self):
-        """End everything that this run started."""
-        self.is_over = True
-        self.keeper.join()
+        """Stop every thread, endpoint and process of this run."""
+        self.is_stopping = True
+        self.supervisor.join()
         for actor in (self.operator, *self.callers):
             if actor.is_alive():
-                actor.end()
+                actor.stop()
         for endpoint in self.endpoints:
             endpoint.stop()
         for process in self.list_processes():
-            process.send(signal.SIGCONT)
+            process.send_signal(signal.SIGCONT)
             process.stop()
 
     def list_processes(self):
         """Return all processes."""
-        return (*self.cores, *self.fronts, *self.sides)
+        return (*self.control_hosts, *self.balancers, *self.agents)
 
-    def _keep(self):
-        """Start programs again that ended by themselves, as the platform does.
+    def _supervise(self):
+        """Restart programs that have exited, as the platform does.
 
-        A hang-up signal that arrives before the interpreter runs our first line ends a
-        process; nothing in the program can prevent that.
+        SIGHUP ends a process if it arrives before the interpreter runs the program's
+        first line; the program cannot prevent that.
         """
-        while not self.is_over:
-            time.sleep(RESTART_SECONDS / 2)
+        while not self.is_stopping:
+            time.sleep(RESTART_DELAY_SECONDS / 2)
             for process in self.list_processes():
                 if not process.lock.acquire(blocking=False):
                     continue
                 try:
-                    if not self.is_over and process.has_ended():
+                    if not self.is_stopping and process.has_exited():
                         process.start()
                 finally:
                     process.lock.release()
 
-    def _read_newest(self):
-        status, _ = call(f"{CORES[0]}:{CONTROL}", GET)
+    def _read_version(self):
+        status, _ = call(f"{CONTROL_HOSTS[0]}:{CONTROL_PORT}", GET_PATH)
         return self.operator.read() if status == 200 else 0
 
-    def _choose(self, what, index):
-        if what == "all":
+    def _choose(self, target, index):
+        if target == "all":
             return self.list_processes()
-        if what == "all_control":
-            return self.cores
-        group = {"balancer": self.fronts, "agent": self.sides, "control": self.cores}
-        found = group[what]
-        return (found[index % len(found)],)
+        if target == "all_control":
+            return self.control_hosts
+        groups = {
+            "balancer": self.balancers,
+            "agent": self.agents,
+            "control": self.control_hosts,
+        }
+        processes = groups[target]
+        return (processes[index % len(processes)],)
 
-    def _stop_and_start(self, process, kind, lasts):
+    def _stop_and_start(self, process, kind, duration):
         with process.lock:
             if kind == "freeze":
-                process.send(signal.SIGSTOP)
-                time.sleep(lasts)
-                process.send(signal.SIGCONT)
+                process.send_signal(signal.SIGSTOP)
+                time.sleep(duration)
+                process.send_signal(signal.SIGCONT)
                 return
-            process.send(signal.SIGTERM if kind == "term" else signal.SIGKILL)
-            process.wait_for_end()
-            time.sleep(RESTART_SECONDS)
+            process.send_signal(signal.SIGTERM if kind == "term" else signal.SIGKILL)
+            process.wait_for_exit()
+            time.sleep(RESTART_DELAY_SECONDS)
             process.write(more={**process.fields["more"], "Bootstrap": False})
             process.start()
 
-    def _replace_endpoint(self, fault, drains):
-        place = fault.index % len(SIDES)
-        with self.sides[place].lock:
-            old = self.endpoints[place]
-            if drains:
+    def _replace_endpoint(self, fault, with_drain):
+        index = fault.index % len(AGENTS)
+        with self.agents[index].lock:
+            old = self.endpoints[index]
+            if with_drain:
                 old.state = "draining"
-                old.beat()
-                time.sleep(fault.lasts)
-                # Its flows go on until it ends; what ends then is planned by callers.
-                self.record.unplanned_at = time.monotonic()
+                old.send_heartbeat()
+                time.sleep(fault.duration)
+                # Flows continue until the endpoint stops; it then breaks the open ones.
+                self.record.last_fault_at = time.monotonic()
                 path = f"/-/instances/{old.name}/deregister"
-                call(f"{old.ip}:{CONTROL}", path, {})
+                call(f"{old.ip}:{CONTROL_PORT}", path, {})
             old.stop()
-            self.endpoints[place] = self._start_endpoint(place)
+            self.endpoints[index] = self._start_endpoint(index)
 
-    def _spawn(self, run, *arguments):
-        thread = threading.Thread(target=run, args=arguments, daemon=True)
-        self.timers.append(thread)
+    def _run_in_thread(self, function, *arguments):
+        thread = threading.Thread(target=function, args=arguments, daemon=True)
+        self.fault_threads.append(thread)
         thread.start()
 
-    def _start_core(self, ip):
-        folder = str(self.folder / f"data-{ip}")
-        listen = {"Control": f"{ip}:{CONTROL}"}
+    def _start_control_host(self, ip):
+        data_folder = str(self.folder / f"data-{ip}")
+        listen = {"Control": f"{ip}:{CONTROL_PORT}"}
         return Process(
             self.folder,
             "control",
@@ -180,20 +197,20 @@
             SEEDS,
             listen,
             {"Machines": 1},
-            DataDir=folder,
+            DataDir=data_folder,
             Bootstrap=True,
         )
 
-    def _start_front(self, ip):
-        listen = {"UdpAddr": f"{ip}:{PACKETS}", "ReadyAddr": f"{ip}:{READY}"}
+    def _start_balancer(self, ip):
+        listen = {"UdpAddr": f"{ip}:{PACKET_PORT}", "ReadyAddr": f"{ip}:{READY_PORT}"}
         return Process(self.folder, "balancer", ip, SEEDS, listen)
 
-    def _start_side(self, place):
-        ip = SIDES[place]
+    def _start_agent(self, index):
+        ip = AGENTS[index]
         listen = {
-            "UdpAddr": f"{ip}:{PACKETS}",
-            "outbound": f"{ip}:{OUTWARD}",
-            "Control": f"{ip}:{CONTROL}",
+            "UdpAddr": f"{ip}:{PACKET_PORT}",
+            "outbound": f"{ip}:{OUTBOUND_PORT}",
+            "Control": f"{ip}:{CONTROL_PORT}",
         }
         return Process(
             self.folder,
@@ -201,16 +218,16 @@
             ip,
             SEEDS,
             listen,
-            app=f"{ip}:{APP}",
-            Service=_choose_service(place),
+            app=f"{ip}:{APP_PORT}",
+            Service=_choose_service(index),
             HeartbeatMs=1000,
         )
 
-    def _start_endpoint(self, place):
-        self.number += 1
-        service = _choose_service(place)
-        return Endpoint(SIDES[place], self.number, service, self.record.runs)
+    def _start_endpoint(self, index):
+        self.endpoint_count += 1
+        service = _choose_service(index)
+        return Endpoint(AGENTS[index], self.endpoint_count, service, self.record.runs)
 
 
-def _choose_service(place):
-    return (SERVICE, OTHER_SERVICE)[place % 2]
+def _choose_service(index):
+    return (SERVICE, OTHER_SERVICE)[index % 2]
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,11 +1,17 @@
-"""Draw a plan of faults from a seed."""
+"""Generate a schedule of faults from a seed."""
 
 import random
 from dataclasses import dataclass
 
-# Kinds that break no established flow by themselves.
-PLANNED = ("term_balancer", "term_agent", "hup_all", "drain_endpoint", "change_seeds")
-UNPLANNED = (
+# Planned operations; by themselves they break no established flow.
+PLANNED_KINDS = (
+    "term_balancer",
+    "term_agent",
+    "hup_all",
+    "drain_endpoint",
+    "change_seeds",
+)
+UNPLANNED_KINDS = (
     "kill_balancer",
     "kill_agent",
     "freeze_balancer",
@@ -16,30 +22,37 @@
     "crash_endpoint",
     "kill_all",
 )
-LONGEST_FREEZE_SECONDS = 3.0
-LONGEST_GAP_SECONDS = 1.5
+MAX_DURATION_SECONDS = 3.0
+MAX_GAP_SECONDS = 1.5
 
 
 @dataclass(frozen=True)
 class Fault:
-    """Hold one fault: seconds from the start, kind, which process, how long."""
+    """Describe one fault.
+
+    ``starts_at`` is in seconds from the start of the run, ``duration`` in seconds;
+    ``index`` selects the process, modulo the number of processes.
+    """
 
-    at: float
+    starts_at: float
     kind: str
     index: int
-    lasts: float
+    duration: float
 
     def __str__(self):
-        return f"{self.at:6.2f} s {self.kind} #{self.index} for {self.lasts:.1f} s"
+        return (
+            f"{self.starts_at:6.2f} s {self.kind} #{self.index} "
+            f"for {self.duration:.1f} s"
+        )
 
 
-def draw_plan(seed, seconds, planned_only=False):
-    """Return the faults of a run; the same seed gives the same plan."""
-    draw = random.Random(seed)
-    kinds = PLANNED if planned_only else PLANNED + UNPLANNED
+def generate_plan(seed, seconds, planned_only=False):
+    """Return the faults of a run; the same seed gives the same schedule."""
+    rng = random.Random(seed)
+    kinds = PLANNED_KINDS if planned_only else PLANNED_KINDS + UNPLANNED_KINDS
     faults, now = [], 1.0
     while now < seconds:
-        lasts = draw.uniform(0.3, LONGEST_FREEZE_SECONDS)
-        faults.append(Fault(now, draw.choice(kinds), draw.randrange(1000), lasts))
-        now += draw.uniform(0.2, LONGEST_GAP_SECONDS)
+        duration = rng.uniform(0.3, MAX_DURATION_SECONDS)
+        faults.append(Fault(now, rng.choice(kinds), rng.randrange(1000), duration))
+        now += rng.uniform(0.2, MAX_GAP_SECONDS)
     return tuple(faults)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -8,10 +8,10 @@
 from ibisshunt.model.record import Service
 from ibisshunt.model.target import Announcement, Target, TargetState
 
-NOWHERE = Address("127.0.0.1", 9)
+UNUSED_ADDRESS = Address("127.0.0.1", 9)
 
 
-# Records as an operator writes them, in the first schema.
+# Record documents in version 1 of the schema.
 BUSINESS_DOCUMENT = {"kind": "business", "schema": 1, "name": "marea"}
 SERVICE_DOCUMENT = {
     "kind": "service",
@@ -54,16 +54,16 @@
         session=f"s{number}",
         host=f"host-{number}",
         failure_domain=domain,
-        packets=addresses.get("packets", NOWHERE),
-        streams=addresses.get("streams", NOWHERE),
-        tunnel=addresses.get("tunnel", NOWHERE),
+        packets=addresses.get("packets", UNUSED_ADDRESS),
+        streams=addresses.get("streams", UNUSED_ADDRESS),
+        tunnel=addresses.get("tunnel", UNUSED_ADDRESS),
         weight=addresses.get("weight", 100),
     )
     return Target(announcement, incarnation or number, state, warm_deadline)
 
 
-def make_configuration(*parts, revision=1):
-    slices = MappingProxyType({part.number: part for part in parts})
+def make_configuration(*service_slices, revision=1):
+    slices = MappingProxyType({slice_.number: slice_ for slice_ in service_slices})
     return Configuration(revision, slices)
 
 
--- a/tests/cli/test_records.py
+++ b/tests/cli/test_records.py
@@ -4,7 +4,7 @@
 from click.testing import CliRunner
 
 from ibisshunt.cli.operator import main
-from ibisshunt.components.consensus import Options
+from ibisshunt.components.consensus import ReplicatedLogOptions
 from ibisshunt.components.control import setup
 from ibisshunt.core import Kernel
 from ibisshunt.model.address import Address
@@ -21,7 +21,7 @@
 
 
 class Operator:
-    """Run the command against a control host of its own."""
+    """Run the operator's command against a control host of its own."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -29,12 +29,14 @@
         loopback = Address("127.0.0.1", 0)
         data = str(folder / "data")
         settings = ControlSettings("c1", "d", loopback, loopback, data)
-        self.control = setup(self.kernel, settings, Options(reserved_bytes=0))
+        self.control = setup(
+            self.kernel, settings, ReplicatedLogOptions(reserved_bytes=0)
+        )
         self.control.host.log.read_barrier(20.0).unwrap()
 
     def run(self, *arguments, code=0):
-        hosts = ("--control", str(self.control.address))
-        result = CliRunner().invoke(main, [*hosts, *arguments])
+        control = ("--control", str(self.control.address))
+        result = CliRunner().invoke(main, [*control, *arguments])
         assert result.exit_code == code, result.output
         return result.output
 
@@ -51,14 +53,14 @@
 
 @pytest.fixture
 def operator(tmp_path):
-    found = Operator(tmp_path)
-    yield found
-    found.kernel.stop()
+    command = Operator(tmp_path)
+    yield command
+    command.kernel.stop()
 
 
 def test_apply_waits_and_names_the_node_that_lags(operator):
-    # Hazard 18. A change was accepted, and one balancer does not put it in force.
-    # The operator must learn which one, and not that all is well.
+    # Hazard 18. A change was accepted, and one balancer has not applied it. The command
+    # must name that balancer, and not report success.
     path = operator.write(BUSINESS_DOCUMENT, SERVICE_DOCUMENT)
     operator.report("b1", 1_000)
     assert "in force on 1 nodes" in operator.run("apply", path, "--wait")
@@ -93,14 +95,14 @@
 
 
 def announce(operator):
-    """Let a target of the booking service announce itself from domain moin-a."""
+    """Announce a target of the booking service in failure domain moin-a."""
     operator.run("apply", operator.write(BUSINESS_DOCUMENT, SERVICE_DOCUMENT))
     address = Address("127.0.0.1", 7001)
-    found = Announcement(
+    announcement = Announcement(
         "marea", "booking", "t1", "s1", "h1", "moin-a", address, address, address
     )
     channel = Channel(operator.control.address)
-    channel.call(ANNOUNCE, AnnounceRequest(found))
+    channel.call(ANNOUNCE, AnnounceRequest(announcement))
     channel.close()
 
 
--- a/tests/components/consensus/test_machine.py
+++ b/tests/components/consensus/test_machine.py
@@ -1,6 +1,6 @@
-"""Drive 3 and 5 hosts through faults in any order.
+"""Run 3 and 5 simulated hosts through random sequences of faults.
 
-The larger budget: IBISSHUNT_PROFILE=long script/test --hypothesis-seed=N \
+More examples: IBISSHUNT_PROFILE=long script/test --hypothesis-seed=N \
     tests/components/consensus/test_machine.py
 """
 
@@ -9,7 +9,7 @@
 from hypothesis import given, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.components.consensus.hosts import Hosts
+from tests.components.consensus.simulated_cluster import SimulatedCluster as Hosts
 
 LONG = os.environ.get("IBISSHUNT_PROFILE") == "long"
 BUDGET = settings(
@@ -17,6 +17,9 @@
 )
 PLACES = st.integers(0, 4)
 
+# Hypothesis derives the fixed examples of CI from the source text of the classes and
+# the property test below, comments excepted: any other edit changes the examples.
+
 
 class Machine(RuleBasedStateMachine):
     """Faults in any order; the checks of Hosts run at every step."""
--- a/tests/components/consensus/test_repair.py
+++ b/tests/components/consensus/test_repair.py
@@ -1,4 +1,4 @@
-"""Loss and replacement of control hosts on real folders and sockets."""
+"""Loss and replacement of control hosts, on real folders and sockets."""
 
 import shutil
 
@@ -20,32 +20,32 @@
 
 
 def test_a_lost_disk_is_replaced_without_an_operator(hosts):
-    # A control host's disk died and a new one was put in; the process starts under
-    # its old name and address. It must take its place by itself, with all records,
-    # and the old disk must lose its vote.
-    for place in range(60):
-        hosts[0].log.propose(b"v%d" % place, 10.0).unwrap()
+    # A control host's disk failed and was replaced; the process restarts under its old
+    # name and address. It must rejoin and catch up without an operator, and the old
+    # disk must lose its vote.
+    for number in range(60):
+        hosts[0].log.propose(b"v%d" % number, 10.0).unwrap()
     lost = next(host for host in hosts if not host.log.is_leading())
-    old = lost.log.driver.host
+    old_identity = lost.log.driver.host
     address = lost.address
     lost.stop()
     shutil.rmtree(lost.folder)
     lost.bind(address)
     lost.start(hosts)
-    new = lost.log.driver.host
+    new_identity = lost.log.driver.host
     others = [host for host in hosts if host is not lost]
-    wait_until(lambda: all(new in find_voters(host) for host in others))
-    wait_until(lambda: all(old not in find_voters(host) for host in others))
+    wait_until(lambda: all(new_identity in find_voters(host) for host in others))
+    wait_until(lambda: all(old_identity not in find_voters(host) for host in others))
     assert is_successful(lost.log.read_barrier(10.0))
-    assert lost.applied == [b"v%d" % place for place in range(60)]
-    # One more loss right after the repair: the new disk counts now.
+    assert lost.applied == [b"v%d" % number for number in range(60)]
+    # Another host fails right after the repair: the new disk counts as a voter now.
     others[0].log.stop()
     lost.log.propose(b"after", 15.0).unwrap()
 
 
-def test_a_host_with_an_empty_disk_joins_a_leader_that_its_settings_do_not_name(hosts):
-    # Guards against a lost disk that is never made good: the new host got the log from
-    # the leader, had no address to answer it at, and was left out again and again.
+def test_a_host_with_an_empty_disk_joins_a_leader_missing_from_its_settings(hosts):
+    # Guards against a lost disk that is never replaced: the leader replicated to the
+    # new host, which had no address to reply to and was removed again and again.
     hosts[0].log.propose(b"v", 10.0).unwrap()
     leader = find_leader(hosts)
     lost, other = (host for host in hosts if host is not leader)
@@ -60,8 +60,8 @@
 
 
 def test_a_proposal_without_quorum_is_unknown(hosts):
-    # Both followers die in the moment of a change. It lies in the leader's log and may
-    # be accepted when one comes back, so "not accepted" would be a lie.
+    # Both followers fail during a change. Its entry is in the leader's log and may be
+    # committed once a follower is back, so "not accepted" would be wrong.
     hosts[0].log.propose(b"v", 10.0).unwrap()
     leader = find_leader(hosts)
     followers = [host for host in hosts if host is not leader]
--- a/tests/components/consensus/test_replicated_log.py
+++ b/tests/components/consensus/test_replicated_log.py
@@ -3,7 +3,7 @@
 from returns.pipeline import is_successful
 
 from ibisshunt.components.consensus import (
-    Options,
+    ReplicatedLogOptions,
     StateMachine,
     make_handlers,
     setup,
@@ -21,7 +21,7 @@
 from ibisshunt.settings import ControlSettings
 
 FAST = ConsensusSettings(heartbeat_seconds=0.05, election_seconds=0.5)
-OPTIONS = Options(FAST, reserved_bytes=0, snapshot_entries=20)
+OPTIONS = ReplicatedLogOptions(FAST, reserved_bytes=0, snapshot_entries=20)
 
 
 class ControlHost:
@@ -35,8 +35,8 @@
         self.address = None
 
     def bind(self, address=None):
-        """Serve handlers that find the log once it is there."""
-        from ibisshunt.components.consensus.serving import EXCHANGE, FORWARD, HELLO
+        """Create the server with handlers that look up the log once it exists."""
+        from ibisshunt.components.consensus.handlers import EXCHANGE, FORWARD, HELLO
 
         def bind(method):
             return lambda request, context: make_handlers(self.log)[method](
@@ -87,13 +87,15 @@
 
 @pytest.fixture
 def hosts(tmp_path):
-    found = [ControlHost(f"c{place}", tmp_path / f"c{place}") for place in (1, 2, 3)]
-    for host in found:
+    control_hosts = [
+        ControlHost(f"c{number}", tmp_path / f"c{number}") for number in (1, 2, 3)
+    ]
+    for host in control_hosts:
         host.bind()
-    for host in found:
-        host.start(found)
-    yield found
-    for host in found:
+    for host in control_hosts:
+        host.start(control_hosts)
+    yield control_hosts
+    for host in control_hosts:
         host.stop()
 
 
@@ -101,33 +103,33 @@
     return next((host for host in hosts if host.log.is_leading()), None)
 
 
-def test_a_host_alone_accepts_and_starts_again(tmp_path):
+def test_a_single_host_accepts_commands_and_restarts(tmp_path):
     host = ControlHost("c1", tmp_path)
     host.bind()
     host.start([])
-    replies = [host.log.propose(b"v%d" % place, 10.0) for place in range(50)]
+    replies = [host.log.propose(b"v%d" % number, 10.0) for number in range(50)]
     assert [reply.unwrap() for reply in replies] == [b"%d" % n for n in range(1, 51)]
     assert host.log.driver.snapshots == 2
     host.stop()
     host.bind()
     host.start([])
     assert is_successful(host.log.read_barrier(10.0))
-    assert host.applied == [b"v%d" % place for place in range(50)]
+    assert host.applied == [b"v%d" % number for number in range(50)]
     host.stop()
 
 
-def test_any_host_takes_proposals_and_reads(hosts):
-    for place in range(9):
-        reply = hosts[place % 3].log.propose(b"v%d" % place, 10.0)
-        assert reply.unwrap() == b"%d" % (place + 1)
+def test_any_host_accepts_proposals_and_reads(hosts):
+    for number in range(9):
+        reply = hosts[number % 3].log.propose(b"v%d" % number, 10.0)
+        assert reply.unwrap() == b"%d" % (number + 1)
     for host in hosts:
         assert is_successful(host.log.read_barrier(10.0))
         assert len(host.applied) == 9
 
 
 def test_a_planned_stop_hands_the_lead_over(hosts):
-    # The leader is stopped for an upgrade. Its successor is elected before it goes,
-    # so that callers wait for one exchange and not for an election timeout.
+    # The leader is stopped for an upgrade. The next leader is elected before it exits,
+    # so that callers wait for one message exchange and not for an election timeout.
     hosts[0].log.propose(b"v", 10.0).unwrap()
     leader = find_leader(hosts)
     term = leader.log.driver.state.term
@@ -141,8 +143,8 @@
 
 
 def test_a_host_without_quorum_answers_no_read(hosts):
-    # Two of three control hosts are gone. The one that is left may hold an older
-    # state than what they accepted last, so it must not serve reads.
+    # Two of three control hosts are down. The remaining one may lack what they accepted
+    # last, so it must not serve reads.
     hosts[0].log.propose(b"v", 10.0).unwrap()
     for host in hosts[1:]:
         host.log.stop()
@@ -150,10 +152,12 @@
     assert isinstance(hosts[0].log.propose(b"w", 0.5).failure(), NotAccepted)
 
 
-def test_a_full_disk_refuses_and_says_so(tmp_path):
-    # The reserve keeps room for the log of others and for a clean stop; callers are
-    # told that nothing was accepted.
-    host = ControlHost("c1", tmp_path, Options(FAST, reserved_bytes=1 << 60))
+def test_a_leader_with_a_full_disk_refuses_proposals_with_the_reason(tmp_path):
+    # The reserve leaves space for replicated entries and for a clean stop; callers are
+    # told that the command was not accepted.
+    host = ControlHost(
+        "c1", tmp_path, ReplicatedLogOptions(FAST, reserved_bytes=1 << 60)
+    )
     host.bind()
     host.start([])
     wait_until(lambda: host.log.is_leading())
@@ -169,9 +173,9 @@
     host.bind()
     host.start([])
     host.log.propose(b"v", 10.0).unwrap()
-    shown = host.kernel.dump()["replicated-log"]
-    assert (shown["role"], shown["has_fresh_quorum"]) == ("leader", True)
-    assert shown["applied"] == shown["commit"] == shown["last_index"]
+    dump = host.kernel.dump()["replicated-log"]
+    assert (dump["role"], dump["has_fresh_quorum"]) == ("leader", True)
+    assert dump["applied"] == dump["commit"] == dump["last_index"]
     page, _ = host.kernel.find("metrics").render()
     assert b'consensus_is_leader{host="c1"} 1' in page
     host.stop()
@@ -180,17 +184,17 @@
 def test_a_host_that_lists_itself_as_a_peer_counts_once(tmp_path):
     host = ControlHost("c1", tmp_path)
     host.bind()
-    twin = ControlHost("c1", tmp_path)
-    twin.address = host.address
-    host.start([twin])
+    duplicate = ControlHost("c1", tmp_path)
+    duplicate.address = host.address
+    host.start([duplicate])
     host.log.propose(b"v", 10.0).unwrap()
     assert len(host.log.driver.state.log.membership.members) == 1
     host.stop()
 
 
-def test_a_damaged_log_names_the_file_and_stays_as_it_is(tmp_path):
-    # A bad sector in an old record: the host must not start on a part of its log, and
-    # must leave the files for whoever looks into it.
+def test_a_damaged_log_is_reported_with_its_file_and_left_unchanged(tmp_path):
+    # A bad sector damages an old record: the host must not start with a part of its log
+    # and must keep the files for an investigation.
     host = ControlHost("c1", tmp_path)
     host.bind()
     host.start([])
@@ -209,20 +213,20 @@
     host.server.stop(0.1)
 
 
-def test_a_leader_with_a_full_disk_hands_the_lead_over(tmp_path):
-    # The founder's disk is full. Changes must not be refused for long: another host
-    # with room leads, and the full one goes on as a follower.
-    full = Options(FAST, reserved_bytes=1 << 60)
-    found = [
+def test_a_leader_with_a_full_disk_transfers_leadership(tmp_path):
+    # The disk of the first leader is full. It must transfer leadership to a host with
+    # free space and continue as a follower, so that changes are soon accepted again.
+    full = ReplicatedLogOptions(FAST, reserved_bytes=1 << 60)
+    control_hosts = [
         ControlHost(name, tmp_path / name, full if name == "c1" else OPTIONS)
         for name in ("c1", "c2", "c3")
     ]
-    for host in found:
+    for host in control_hosts:
         host.bind()
-    for host in found:
-        host.start(found)
-    wait_until(lambda: any(host.log.is_leading() for host in found[1:]))
-    # The full host refuses while it leads, so success means that another one does.
-    wait_until(lambda: is_successful(found[0].log.propose(b"v", 5.0)))
-    for host in found:
+    for host in control_hosts:
+        host.start(control_hosts)
+    wait_until(lambda: any(host.log.is_leading() for host in control_hosts[1:]))
+    # The full host refuses while it is the leader, so success shows another leader.
+    wait_until(lambda: is_successful(control_hosts[0].log.propose(b"v", 5.0)))
+    for host in control_hosts:
         host.stop()
--- a/tests/components/control/fakes.py
+++ b/tests/components/control/fakes.py
@@ -1,4 +1,4 @@
-"""Stand in for the log and for a gRPC call."""
+"""Fakes of the replicated log and of a gRPC call context."""
 
 import grpc
 from returns.result import Failure, Success
@@ -7,23 +7,23 @@
 
 
 class Aborted(Exception):
-    """Carry the code and text with which a handler ended a call."""
+    """Carry the status code and text with which a handler aborted a call."""
 
 
 class FakeContext:
     def __init__(self, active=1_000):
-        self.left = active
+        self.remaining_checks = active
 
     def is_active(self):
-        self.left -= 1
-        return self.left >= 0
+        self.remaining_checks -= 1
+        return self.remaining_checks >= 0
 
     def abort(self, code: grpc.StatusCode, text):
         raise Aborted(code, text)
 
 
 class FakeLog:
-    """Apply commands at once; a test cuts it off or takes the lead away."""
+    """Apply commands at once; tests can disconnect it or change the leader."""
 
     def __init__(self, name, machine, peers):
         self.name = name
@@ -46,13 +46,13 @@
             return Failure(Fault("read barrier", "", "no quorum in time"))
         return Success(self.index)
 
-    def leader(self):
+    def get_leader_name(self):
         return self.leading
 
     def is_leading(self):
         return self.leading == self.name
 
-    def leader_address(self):
+    def find_leader_address(self):
         return self.peers.get(self.leading)
 
     def stop(self):
--- a/tests/components/control/test_server.py
+++ b/tests/components/control/test_server.py
@@ -44,11 +44,11 @@
 )
 
 
-class Host:
-    def __init__(self, folder, **keys):
+class ControlHost:
+    def __init__(self, folder, **options):
         self.kernel = Kernel()
         settings = ControlSettings(
-            "c1", "moin-a", LOOPBACK, LOOPBACK, str(folder), **keys
+            "c1", "moin-a", LOOPBACK, LOOPBACK, str(folder), **options
         )
         self.control = setup(self.kernel, settings)
         self.channel = Channel(self.control.address)
@@ -63,13 +63,13 @@
 
 @pytest.fixture
 def host(tmp_path):
-    host = Host(tmp_path)
+    host = ControlHost(tmp_path)
     yield host
     host.stop()
 
 
-def test_records_reach_a_watcher_and_last_through_a_restart(tmp_path):
-    host = Host(tmp_path)
+def test_records_reach_a_watcher_and_survive_a_restart(tmp_path):
+    host = ControlHost(tmp_path)
     updates = host.channel.stream(WATCH, WatchRequest("b1", 0))
     assert next(updates).revision == 0
     reply = host.apply(BUSINESS, SERVICE)
@@ -79,13 +79,13 @@
     assert [found.service.name for found in update.changed] == ["booking"]
     updates.close()
     host.stop()
-    again = Host(tmp_path)
+    again = ControlHost(tmp_path)
     listed = again.channel.call(LIST, ListRequest("marea"))
     assert [found.document for found in listed.records] == [BUSINESS, SERVICE]
     again.stop()
 
 
-def test_an_announced_target_is_told_to_watchers(host):
+def test_an_announced_target_is_sent_to_watchers(host):
     host.apply(BUSINESS, SERVICE)
     first = host.channel.call(ANNOUNCE, AnnounceRequest(ANNOUNCEMENT, flows=3))
     again = host.channel.call(ANNOUNCE, AnnounceRequest(ANNOUNCEMENT, flows=5))
@@ -98,7 +98,7 @@
     assert [found.revision for found in status.nodes] == [update.revision]
 
 
-def test_a_malformed_record_leaves_the_others_of_the_request_out(host):
+def test_a_malformed_record_rejects_the_whole_request(host):
     reply = host.apply(BUSINESS, '{"kind":"service","schema":9}')
     assert "not applied" in reply.outcomes[0].error
     assert "key schema: found 9" in reply.outcomes[1].error
@@ -113,7 +113,7 @@
     issued.private_key_pem.write_to_path(names[1])
     authority.cert_pem.write_to_path(names[2])
     tls = TlsSettings(*names)
-    host = Host(tmp_path / "data", tls=tls)
+    host = ControlHost(tmp_path / "data", tls=tls)
     with pytest.raises(RpcError):
         host.channel.call(STATUS, StatusRequest(), timeout=1.0)
     trusted = Channel(host.control.address, make_channel_credentials(tls))
@@ -122,12 +122,12 @@
     host.stop()
 
 
-def test_history_tells_who_changed_what(host):
+def test_history_shows_who_changed_what(host):
     host.apply(BUSINESS, operation="a")
     host.apply(SERVICE, operation="b")
     entries = host.channel.call(HISTORY, HistoryRequest("marea")).entries
-    assert [(found.name, found.before, found.after) for found in entries] == [
+    assert [(entry.name, entry.before, entry.after) for entry in entries] == [
         ("marea", "", BUSINESS),
         ("booking", "", SERVICE),
     ]
-    assert {found.actor for found in entries} == {"admin"}
+    assert {entry.actor for entry in entries} == {"admin"}
--- a/tests/components/control/test_three_hosts.py
+++ b/tests/components/control/test_three_hosts.py
@@ -4,7 +4,7 @@
 import pytest
 from gevent import socket
 
-from ibisshunt.components.consensus import Options
+from ibisshunt.components.consensus import ReplicatedLogOptions
 from ibisshunt.components.control import host as host_module, setup
 from ibisshunt.coordination.consensus import ConsensusSettings
 from ibisshunt.core import Kernel
@@ -30,8 +30,8 @@
 from .test_server import ANNOUNCEMENT, BUSINESS, LOOPBACK, SERVICE
 
 FAST = ConsensusSettings(heartbeat_seconds=0.05, election_seconds=0.3)
-# Compaction comes soon, so that answers and records pass through snapshots.
-OPTIONS = Options(FAST, reserved_bytes=0, snapshot_entries=5)
+# Compact early, so that records and cached outcomes pass through snapshots.
+OPTIONS = ReplicatedLogOptions(FAST, reserved_bytes=0, snapshot_entries=5)
 
 
 def reserve_addresses(count):
@@ -44,7 +44,7 @@
     return addresses
 
 
-class Host:
+class ControlHost:
     def __init__(self, name, peers, folder):
         self.name = name
         self.kernel = Kernel()
@@ -60,7 +60,7 @@
     def apply(self, operation, *documents):
         return self.call(APPLY, ApplyRequest(operation, documents))
 
-    def leads(self):
+    def is_leader(self):
         return self.control.host.is_leader()
 
     def stop(self):
@@ -78,55 +78,62 @@
 def hosts(tmp_path):
     names = ("c1", "c2", "c3")
     peers = dict(zip(names, reserve_addresses(3), strict=True))
-    found = [Host(name, peers, tmp_path) for name in names]
-    wait_until(lambda: any(host.leads() for host in found))
-    yield found
-    for host in found:
+    control_hosts = [ControlHost(name, peers, tmp_path) for name in names]
+    wait_until(lambda: any(host.is_leader() for host in control_hosts))
+    yield control_hosts
+    for host in control_hosts:
         host.stop()
 
 
-def split(hosts):
-    wait_until(lambda: any(host.leads() for host in hosts))
-    leader = next(host for host in hosts if host.leads())
+def split_by_role(hosts):
+    wait_until(lambda: any(host.is_leader() for host in hosts))
+    leader = next(host for host in hosts if host.is_leader())
     return leader, [host for host in hosts if host is not leader]
 
 
-def change(slots, **keys):
-    return json.dumps({**json.loads(SERVICE), "slots": slots, **keys})
+def make_service_document(slots, **fields):
+    return json.dumps({**json.loads(SERVICE), "slots": slots, **fields})
 
 
 def test_a_resend_after_leader_change_and_compaction_gets_the_first_answer(hosts):
-    # Hazard 12. An operator changes a record under an expected revision and loses
-    # the answer. Others change it further, the log is compacted, the leader goes. The
-    # resend reaches another host: it must get the first answer, not a conflict with
-    # its own write and not a second write.
-    leader, others = split(hosts)
-    seen = leader.apply("setup", BUSINESS, SERVICE).revision
-    document = change(2, expected_revision=seen)
+    # Hazard 12. An operator changes a record with an expected revision and the answer
+    # is lost. Others change the record, the log is compacted, the leader stops. The
+    # resend reaches another host: it must get the first answer, neither a conflict with
+    # its own write nor a second write.
+    leader, others = split_by_role(hosts)
+    expected_revision = leader.apply("setup", BUSINESS, SERVICE).revision
+    document = make_service_document(2, expected_revision=expected_revision)
     first = leader.apply("mine", document)
     assert first.outcomes[0].error == ""
     for slots in range(3, 20):
-        others[slots % 2].apply(f"later{slots}", change(slots))
-    lost = leader.apply("rival", change(1, expected_revision=seen))
-    assert f"expected {seen}" in lost.outcomes[0].error
+        others[slots % 2].apply(f"later{slots}", make_service_document(slots))
+    conflict = leader.apply(
+        "rival", make_service_document(1, expected_revision=expected_revision)
+    )
+    assert f"expected {expected_revision}" in conflict.outcomes[0].error
     leader.stop()
     hosts.remove(leader)
-    successor, follower = split(hosts)[0], split(hosts)[1][0]
+    successor, follower = split_by_role(hosts)[0], split_by_role(hosts)[1][0]
     assert successor.apply("mine", document) == first
     assert follower.apply("mine", document) == first
-    assert follower.apply("rival", change(1, expected_revision=seen)) == lost
+    assert (
+        follower.apply(
+            "rival", make_service_document(1, expected_revision=expected_revision)
+        )
+        == conflict
+    )
     (record,) = [
-        found
-        for found in follower.call(LIST, ListRequest("marea")).records
-        if found.name == "booking"
+        record
+        for record in follower.call(LIST, ListRequest("marea")).records
+        if record.name == "booking"
     ]
     assert json.loads(record.document)["slots"] == 19
 
 
-def test_what_one_host_accepts_all_hosts_send_and_report(hosts):
-    # Hazard 18. Nodes watch and report to different hosts. Whichever host is asked
-    # names the revision in force on each of them.
-    leader, others = split(hosts)
+def test_all_hosts_distribute_and_report_what_one_accepts(hosts):
+    # Hazard 18. Nodes watch and report to different hosts. Every host must return the
+    # active revision of each node.
+    leader, others = split_by_role(hosts)
     reply = others[0].apply("setup", BUSINESS, SERVICE)
     for number, host in enumerate(hosts):
         update = next(host.channel.stream(WATCH, WatchRequest(f"b{number}", 0)))
@@ -142,10 +149,10 @@
         others[0].call(ANNOUNCE, AnnounceRequest(ANNOUNCEMENT))
 
 
-def test_a_host_without_quorum_serves_no_fresh_node(hosts, monkeypatch):
-    # Hazard 11. Two of three hosts are gone. A balancer that has just started asks
-    # the third: what it holds may be old, so it must get nothing.
-    leader, others = split(hosts)
+def test_a_host_without_quorum_serves_no_new_node(hosts, monkeypatch):
+    # Hazard 11. Two of three hosts are down. A balancer that has just started asks the
+    # third one: its configuration may be outdated, so the balancer must get nothing.
+    leader, others = split_by_role(hosts)
     leader.apply("setup", BUSINESS, SERVICE)
     for host in others:
         host.stop()
--- a/tests/components/directory/test_control.py
+++ b/tests/components/directory/test_control.py
@@ -1,12 +1,17 @@
-"""A control host that starts with the whole fleet offers what it had in force."""
+"""A control host that starts with the whole fleet offers its saved configuration."""
 
 import zlib
 
 from ibisshunt.components.directory.control import ControlDirectory
-from ibisshunt.components.directory.known import DirectoryFiles
-from ibisshunt.components.storage.files import run_here
+from ibisshunt.components.directory.saved_state import DirectoryFiles
+from ibisshunt.components.storage.files import run_inline
 from ibisshunt.coordination.directory.download import Download
-from ibisshunt.coordination.directory.messages import Fetch, Hello, NodeRole, Notice
+from ibisshunt.coordination.directory.messages import (
+    FetchChunks,
+    Hello,
+    NodeRole,
+    UpdateNotice,
+)
 from ibisshunt.coordination.versions import FleetState, encode_put
 
 from ..storage.memory_files import MemoryFiles
@@ -15,21 +20,21 @@
 CONTROL = "10.0.3.1"
 
 
-class FakeInner:
-    """Take the handlers of messages, and keep what is sent."""
+class FakeInternalSocket:
+    """Record message handlers and sent messages in place of an InternalSocket."""
 
     def __init__(self):
         self.handlers = {}
         self.sent = []
 
-    def handle(self, kind, handler):
+    def register_handler(self, kind, handler):
         self.handlers[kind] = handler
 
     def send(self, peer, message):
         self.sent.append((peer, message))
 
-    def take(self, peer, message):
-        """Return what a message is answered with."""
+    def deliver(self, peer, message):
+        """Handle a message; return the replies."""
         self.sent = []
         self.handlers[type(message)](peer, message)
         return [message for _, message in self.sent]
@@ -37,110 +42,110 @@
 
 def start(files, store=None):
     """Return a control host's directory after a start, and its socket."""
-    inner = FakeInner()
+    socket = FakeInternalSocket()
     store = store or FleetState()
-    kept = DirectoryFiles(files, run_here)
-    return ControlDirectory(inner, store, lambda: (CONTROL,), kept), inner
+    kept = DirectoryFiles(files, run_inline)
+    return ControlDirectory(socket, store, lambda: (CONTROL,), kept), socket
 
 
-def hold(store, version, body=b"routes"):
-    """Let a version be in force in the log."""
+def activate(store, version, body=b"routes"):
+    """Make a version active in the log."""
     store.apply(version, encode_put(version, body))
 
 
-def fetch(inner, version):
-    """Return what a node gets that fetches a version."""
+def fetch(socket, version):
+    """Return what a node downloads that fetches a version."""
     download = Download()
-    peer, question = download.offer(CONTROL, version, 0.0)
-    for piece in inner.take(NODE, question):
-        whole, _ = download.take(peer, piece, 0.0)
-    return zlib.decompress(whole)
+    peer, request = download.handle_offer(CONTROL, version, 0.0)
+    for chunk in socket.deliver(NODE, request):
+        compressed, _ = download.handle_chunk(peer, chunk, 0.0)
+    return zlib.decompress(compressed)
 
 
-def start_again(files):
-    """Return socket and log of a host that lost power with the whole fleet."""
+def restart_after_power_loss(files):
+    """Return directory, socket and log of a host after a power loss of the fleet."""
     store = FleetState()
-    hold(store, 7)
+    activate(store, 7)
     directory, _ = start(files, store)
     directory.save()
     files.crash()
     store = FleetState()
-    directory, inner = start(files, store)
-    return directory, inner, store
+    directory, socket = start(files, store)
+    return directory, socket, store
 
 
 def test_after_a_power_loss_of_the_fleet_nodes_get_the_configuration_at_once():
-    # All hosts and nodes lose power; nobody leads yet, so the log has nothing in
-    # force. Callers are turned away for as long as no node has a configuration.
-    _, inner, _ = start_again(MemoryFiles())
-    (welcome,) = inner.take(NODE, Hello(NodeRole.BALANCER, 0, 0))
-    assert welcome.version == 7
-    assert fetch(inner, 7) == b"routes"
-
-
-def test_what_the_log_has_in_force_replaces_what_was_on_disk():
-    # The newest version had been accepted just before the power went; the file has
-    # the one before. Once a leader is elected nodes are told of the newest.
-    directory, inner, store = start_again(MemoryFiles())
-    inner.take(NODE, Hello(NodeRole.BALANCER, 7, 0))
-    hold(store, 9, b"newer")
-    inner.sent = []
-    directory.announce()
-    assert inner.sent == [(NODE, Notice(9))]
-    assert fetch(inner, 9) == b"newer"
-
-
-def test_an_older_log_does_not_take_back_what_is_offered():
-    # The log is read again from its beginning: older versions come into force in it
-    # before the newest does.
-    _, inner, store = start_again(MemoryFiles())
-    hold(store, 5, b"older")
-    (welcome,) = inner.take(NODE, Hello(NodeRole.BALANCER, 0, 0))
-    assert welcome.version == 7
-    assert fetch(inner, 7) == b"routes"
+    # All hosts and nodes lose power; there is no leader yet, so the log has no active
+    # configuration. Callers are rejected for as long as no node has one.
+    _, socket, _ = restart_after_power_loss(MemoryFiles())
+    (reply,) = socket.deliver(NODE, Hello(NodeRole.BALANCER, 0, 0))
+    assert reply.version == 7
+    assert fetch(socket, 7) == b"routes"
+
+
+def test_the_active_version_of_the_log_replaces_the_saved_one():
+    # The newest version was accepted just before the power loss; the file has the one
+    # before. Once a leader is elected nodes are notified of the newest.
+    directory, socket, store = restart_after_power_loss(MemoryFiles())
+    socket.deliver(NODE, Hello(NodeRole.BALANCER, 7, 0))
+    activate(store, 9, b"newer")
+    socket.sent = []
+    directory.notify_outdated_nodes()
+    assert socket.sent == [(NODE, UpdateNotice(9))]
+    assert fetch(socket, 9) == b"newer"
+
+
+def test_an_older_version_in_the_log_does_not_replace_the_offered_one():
+    # The log is replayed from its beginning: older versions become active in it before
+    # the newest does.
+    _, socket, store = restart_after_power_loss(MemoryFiles())
+    activate(store, 5, b"older")
+    (reply,) = socket.deliver(NODE, Hello(NodeRole.BALANCER, 0, 0))
+    assert reply.version == 7
+    assert fetch(socket, 7) == b"routes"
 
 
 def test_a_host_with_an_empty_disk_offers_nothing_until_the_log_does():
-    _, inner = start(MemoryFiles())
-    (welcome,) = inner.take(NODE, Hello(NodeRole.BALANCER, 0, 0))
-    assert welcome.version == 0
-    assert inner.take(NODE, Fetch(1, 0)) == []
+    _, socket = start(MemoryFiles())
+    (reply,) = socket.deliver(NODE, Hello(NodeRole.BALANCER, 0, 0))
+    assert reply.version == 0
+    assert socket.deliver(NODE, FetchChunks(1, 0)) == []
 
 
-def test_a_full_disk_keeps_no_version_from_the_nodes():
+def test_a_full_disk_does_not_prevent_offers_of_a_version():
     files = MemoryFiles()
-    files.room = 0
+    files.free_space = 0
     store = FleetState()
-    hold(store, 7)
-    directory, inner = start(files, store)
+    activate(store, 7)
+    directory, socket = start(files, store)
     directory.save()
-    assert fetch(inner, 7) == b"routes"
-    files.room = None
+    assert fetch(socket, 7) == b"routes"
+    files.free_space = None
     directory.save()
-    assert DirectoryFiles(files, run_here).version.load().version == 7
+    assert DirectoryFiles(files, run_inline).configuration.load().version == 7
 
 
-def test_a_control_host_that_starts_greets_the_nodes_of_its_former_run():
-    # After a power loss of the fleet nodes ask each 0.1 s while they know no control
-    # host, and nothing is served meanwhile: they are told without being asked.
+def test_a_control_host_that_starts_notifies_its_saved_nodes():
+    # After a power loss of the fleet nodes send Hello each 0.1 s while they know no
+    # control host, and nothing is served meanwhile: they are notified unasked.
     files = MemoryFiles()
     store = FleetState()
-    hold(store, 7)
-    directory, inner = start(files, store)
-    inner.take(NODE, Hello(NodeRole.BALANCER, 7, 0))
+    activate(store, 7)
+    directory, socket = start(files, store)
+    socket.deliver(NODE, Hello(NodeRole.BALANCER, 7, 0))
     directory.save()
     files.crash()
-    directory, inner = start(files)
-    directory.greet()
-    assert inner.sent == [(NODE, Notice(7))]
+    directory, socket = start(files)
+    directory.notify_saved_nodes()
+    assert socket.sent == [(NODE, UpdateNotice(7))]
 
 
-def test_a_control_host_with_nothing_to_offer_greets_nobody():
+def test_a_control_host_with_nothing_to_offer_notifies_no_node():
     files = MemoryFiles()
-    directory, inner = start(files)
-    inner.take(NODE, Hello(NodeRole.BALANCER, 0, 0))
+    directory, socket = start(files)
+    socket.deliver(NODE, Hello(NodeRole.BALANCER, 0, 0))
     directory.save()
     files.crash()
-    directory, inner = start(files)
-    directory.greet()
-    assert inner.sent == []
+    directory, socket = start(files)
+    directory.notify_saved_nodes()
+    assert socket.sent == []
--- a/tests/components/requests/request_service.py
+++ b/tests/components/requests/request_service.py
@@ -1,4 +1,4 @@
-"""Run the request fronts of a whole service in one process, over real sockets."""
+"""Run all agents of one HTTP service in one process, over real sockets."""
 
 import contextlib
 import http.client
@@ -26,13 +26,13 @@
 
 
 class FakeTarget:
-    """Answer requests; count each by its body, and hold it until told to go on."""
+    """Serve requests: record each body, then wait for ``gate`` before the response."""
 
     def __init__(self):
-        self.runs = []
-        self.seen = []
-        self.now_running = 0
-        self.most_running = 0
+        self.run_bodies = []
+        self.environs = []
+        self.running_count = 0
+        self.max_running_count = 0
         self.cut = 0
         self.gate = Event()
         self.gate.set()
@@ -45,19 +45,19 @@
 
     def serve(self, environ, start):
         body = environ["wsgi.input"].read()
-        self.seen.append(environ)
-        self.now_running += 1
-        self.most_running = max(self.most_running, self.now_running)
+        self.environs.append(environ)
+        self.running_count += 1
+        self.max_running_count = max(self.max_running_count, self.running_count)
         try:
             yield from self.answer(environ, start, body)
         finally:
-            self.now_running -= 1
+            self.running_count -= 1
 
     def answer(self, environ, start, body):
         if self.refusing:
             start("503 Service Unavailable", [("Content-Length", "0")])
             return
-        self.runs.append(body)
+        self.run_bodies.append(body)
         self.gate.wait()
         gevent.sleep(self.seconds)
         reply = b"answer to " + (body or environ["PATH_INFO"].encode())
@@ -98,7 +98,7 @@
 
 
 class Agent:
-    """Hold one agent with its target and a port that stands for its stream intake."""
+    """Run one agent with its target, and a port that replaces its stream relay."""
 
     def __init__(self, name, domain, incarnation, target=None):
         self.target = target or FakeTarget()
@@ -137,24 +137,26 @@
             ANY,
             ANY,
             ANY,
-            rpc=self.requests.intake.address,
+            rpc=self.requests.peer_server.address,
             agent_session=self.announcement.agent_session,
         )
         return Target(announcement, self.incarnation, state, 0.0)
 
     def kill(self):
-        """End without a word, as a process that is killed: every connection is cut."""
+        """Stop like a killed process: all connections are cut without a shutdown."""
         self.server.close()
-        self.requests.intake._server._server.stop(0).wait()
+        self.requests.peer_server._server._server.stop(0).wait()
         gevent.killall(self.requests._tasks)
         self.requests.dispatcher.peers.close()
 
 
 class RequestService:
-    """Hold the agents of one service and its configuration."""
+    """Run the agents of one service and publish its configuration."""
 
     def __init__(self, size=3, slots=1, **policy):
-        self.agents = [Agent(f"t{n}", f"d{n % 3}", n + 1) for n in range(size)]
+        self.agents = [
+            Agent(f"t{number}", f"d{number % 3}", number + 1) for number in range(size)
+        ]
         self.slots = slots
         self.policy = RequestPolicy(**policy)
         self.revision = 0
@@ -177,20 +179,22 @@
             number=7,
         )
         targets = tuple(
-            one.describe(self.states.get(one.incarnation, TargetState.READY))
-            for one in self.agents
+            agent.describe(self.states.get(agent.incarnation, TargetState.READY))
+            for agent in self.agents
         )
-        part = ServiceSlice(service, targets, self.revision, self.left_revision)
+        slice_ = ServiceSlice(service, targets, self.revision, self.left_revision)
         for agent in self.agents:
-            agent.configuration.put(Configuration(self.revision, {7: part}))
+            agent.configuration.put(Configuration(self.revision, {7: slice_}))
 
     def remove(self, agent):
         self.agents.remove(agent)
         self.left_revision = self.revision + 1
         self.publish()
 
-    def wait_open(self):
-        wait_for(lambda: all(one.requests.keeper.is_open for one in self.agents))
+    def wait_until_open(self):
+        wait_for(
+            lambda: all(agent.requests.ledger_service.is_open for agent in self.agents)
+        )
 
     def close(self):
         for agent in self.agents:
@@ -199,10 +203,10 @@
 
 
 def wait_for(condition, seconds=6.0):
-    """Wait for a state; fail when it does not come. The time is only a safety net."""
+    """Wait until a condition holds; fail after ``seconds``."""
     deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < deadline, "the state did not come"
+        assert time.monotonic() < deadline, "condition did not hold in time"
         gevent.sleep(0.005)
 
 
@@ -216,7 +220,7 @@
 
 
 def send(agent, method="POST", path="/swap", body=b"", **headers):
-    """Return status, outcome and body of one request."""
+    """Send one request; return status, headers and body of its response."""
     with connect(agent) as connection:
         names = {name.replace("_", "-"): value for name, value in headers.items()}
         connection.request(method, path, body or None, names)
--- a/tests/components/requests/test_front.py
+++ b/tests/components/requests/test_front.py
@@ -22,7 +22,7 @@
 @pytest.fixture
 def service():
     made = RequestService(size=3)
-    made.wait_open()
+    made.wait_until_open()
     yield made
     made.close()
 
@@ -31,54 +31,54 @@
     return reply[0], reply[1]["Ibisshunt-Outcome"]
 
 
-def test_a_request_gets_the_answer_of_the_target_with_its_outcome(service):
+def test_a_request_gets_the_response_of_the_target_with_its_outcome(service):
     reply = send(service.agents[0], body=b"swap 1", X_Roster="r7")
     assert outcome(reply) == (200, "done")
     assert reply[2] == b"answer to swap 1"
-    seen = service.agents[0].target.seen[0]
-    assert seen["HTTP_X_ROSTER"] == "r7"
-    assert float(seen["HTTP_IBISSHUNT_DEADLINE"]) > 0
+    environ = service.agents[0].target.environs[0]
+    assert environ["HTTP_X_ROSTER"] == "r7"
+    assert float(environ["HTTP_IBISSHUNT_DEADLINE"]) > 0
 
 
-def test_a_resend_through_another_agent_gets_the_same_answer_and_no_second_run(
+def test_a_retry_through_another_agent_gets_the_same_response_and_no_second_run(
     service,
 ):
-    # Hazard 19: the answer is lost on its way, the caller resends through another
-    # balancer to another agent.
+    # Hazard 19: the response is lost on its way, and the caller retries through another
+    # balancer at another agent.
     first = send(service.agents[0], body=b"swap", Idempotency_Key="k1")
     second = send(service.agents[1], body=b"swap", Idempotency_Key="k1")
     assert outcome(first) == outcome(second) == (200, "done")
     assert first[2] == second[2]
     assert second[1]["Ibisshunt-Replayed"] == "1"
-    assert sum(len(one.target.runs) for one in service.agents) == 1
+    assert sum(len(member.target.run_bodies) for member in service.agents) == 1
 
 
-def test_a_resend_waits_for_the_first_that_is_still_running(service):
-    # Hazard 19: the first attempt is in the target while the caller resends.
+def test_a_retry_waits_for_the_first_attempt_that_is_still_running(service):
+    # Hazard 19: the first attempt is running in the target while the caller retries.
     target = service.agents[0].target
     target.gate.clear()
     first = gevent.spawn(send, service.agents[0], body=b"s", Idempotency_Key="k")
-    wait_for(lambda: target.runs)
+    wait_for(lambda: target.run_bodies)
     second = gevent.spawn(send, service.agents[1], body=b"s", Idempotency_Key="k")
     gevent.sleep(0.1)
     assert not second.dead
     target.gate.set()
     assert first.get()[2] == second.get()[2] == b"answer to s"
-    assert sum(len(one.target.runs) for one in service.agents) == 1
+    assert sum(len(member.target.run_bodies) for member in service.agents) == 1
 
 
-def test_a_caller_that_leaves_while_its_keyed_request_runs_can_come_back(service):
-    # Hazard 21: the caller cuts the connection during the run and sends again.
+def test_a_caller_that_disconnects_while_its_keyed_request_runs_can_retry(service):
+    # Hazard 21: the caller closes the connection during the run and retries.
     agent = service.agents[0]
     agent.target.gate.clear()
     raw = open_raw(agent, POST % b"Idempotency-Key: k\r\n")
-    wait_for(lambda: agent.target.runs)
+    wait_for(lambda: agent.target.run_bodies)
     raw.close()
     gevent.sleep(0.05)
     agent.target.gate.set()
     reply = send(service.agents[2], body=b"swap", Idempotency_Key="k")
     assert outcome(reply) == (200, "done")
-    assert sum(len(one.target.runs) for one in service.agents) == 1
+    assert sum(len(member.target.run_bodies) for member in service.agents) == 1
 
 
 def test_a_key_of_another_request_is_refused(service):
@@ -87,40 +87,43 @@
     assert outcome(reply) == (422, "not-run")
 
 
-def test_a_caller_that_leaves_the_queue_never_reaches_the_target(service):
-    # Hazard 21: the caller leaves just before its start; the slot goes to the next.
-    for one in service.agents:
-        one.target.gate.clear()
+def test_a_queued_request_whose_caller_disconnects_never_reaches_the_target(service):
+    # Hazard 21: the caller disconnects just before its request starts; the next request
+    # gets the slot.
+    for member in service.agents:
+        member.target.gate.clear()
     agent = service.agents[0]
     running = [
-        gevent.spawn(send, one, body=b"long") for one in service.agents for _ in "1"
+        gevent.spawn(send, member, body=b"long")
+        for member in service.agents
+        for _ in "1"
     ]
-    wait_for(lambda: all(one.target.runs for one in service.agents))
+    wait_for(lambda: all(member.target.run_bodies for member in service.agents))
     raw = open_raw(agent, POST % b"")
-    admission = [one.requests.dispatcher.admission for one in service.agents]
-    wait_for(lambda: sum(one.queued for one in admission) == 1)
+    admissions = [member.requests.dispatcher.admission for member in service.agents]
+    wait_for(lambda: sum(admission.queued for admission in admissions) == 1)
     raw.close()
-    wait_for(lambda: sum(one.queued for one in admission) == 0)
-    for one in service.agents:
-        one.target.gate.set()
+    wait_for(lambda: sum(admission.queued for admission in admissions) == 0)
+    for member in service.agents:
+        member.target.gate.set()
     gevent.joinall(running)
-    assert not any(b"swap" in one.target.runs for one in service.agents)
+    assert not any(b"swap" in member.target.run_bodies for member in service.agents)
 
 
-def test_a_caller_that_leaves_during_the_run_frees_the_slot(service):
-    # Hazard 21: nobody waits for the answer and no key can bring it back, so the
-    # connection to the target is closed: that is how a target is told to cancel.
+def test_a_caller_that_disconnects_during_the_run_frees_the_slot(service):
+    # Hazard 21: without a key the response is lost, so the connection to the target is
+    # closed, which cancels the request there.
     agent = service.agents[0]
     agent.target.gate.clear()
     raw = open_raw(agent, POST % b"")
-    wait_for(lambda: agent.target.runs)
+    wait_for(lambda: agent.target.run_bodies)
     raw.close()
     wait_for(lambda: not agent.requests.dispatcher.admission.running)
-    assert agent.requests.dispatcher.busy == 0
+    assert agent.requests.dispatcher.active_count == 0
 
 
-def test_a_deadline_in_the_target_is_told_unknown_and_cancels_it(service):
-    # Hazard 21: the deadline passes during the run; nobody knows what the target did.
+def test_a_deadline_during_the_run_is_reported_unknown_and_cancels_the_request(service):
+    # Hazard 21: the deadline passes during the run; it is unknown what the target did.
     agent = service.agents[0]
     agent.target.gate.clear()
     reply = send(agent, body=b"swap", Request_Timeout="0.3")
@@ -132,11 +135,11 @@
     reply = send(service.agents[0], body=b"swap", Request_Timeout="0.01")
     assert outcome(reply) == (503, "not-run")
     assert reply[1]["Retry-After"] == "1"
-    assert not service.agents[0].target.runs
+    assert not service.agents[0].target.run_bodies
 
 
-def test_a_partial_answer_of_the_target_never_passes_for_a_whole_one(service):
-    # Hazard 22: the target dies in the middle of its answer.
+def test_an_incomplete_response_of_the_target_never_looks_complete(service):
+    # Hazard 22: the target dies in the middle of its response.
     agent = service.agents[0]
     agent.target.mode = "short"
     with connect(agent) as connection:
@@ -146,14 +149,14 @@
     reply = send(agent, body=b"x", Idempotency_Key="k")
     assert outcome(reply) == (504, "unknown")
     agent.target.mode = "whole"
-    again = send(service.agents[1], body=b"x", Idempotency_Key="k")
-    assert outcome(again) == (504, "unknown")
-    assert agent.target.runs == [b"x", b"x"]
+    retried = send(service.agents[1], body=b"x", Idempotency_Key="k")
+    assert outcome(retried) == (504, "unknown")
+    assert agent.target.run_bodies == [b"x", b"x"]
 
 
-def test_a_late_answer_does_not_reach_the_next_request(service):
-    # Hazard 22: the first request passes its deadline, its answer comes while the
-    # next request of the same caller connection is waiting for its own.
+def test_a_late_response_does_not_reach_the_next_request(service):
+    # Hazard 22: the first request passes its deadline, and its response arrives while
+    # the next request on the same connection waits for its own.
     agent = service.agents[0]
     agent.target.seconds = 0.4
     with connect(agent) as connection:
@@ -163,60 +166,67 @@
         assert connection.getresponse().read() == b"answer to second"
 
 
-def test_another_agent_runs_what_a_target_can_not_take(service):
-    # Hazard 24: the target refuses connections, its agent has retries to spend and
-    # knows the others: the swap runs once, elsewhere.
+def test_another_agent_runs_a_request_that_a_target_can_not_accept(service):
+    # Hazard 24: the target refuses connections, its agent has retries in its budget and
+    # knows the other agents: the request runs once, at one of them.
     agent = service.agents[0]
     for _ in range(12):
         send(agent, "GET")
-    wait_for(lambda: agent.requests.dispatcher.sharing.list_heard())
+    wait_for(lambda: agent.requests.dispatcher.load_sharing.list_known_peers())
     agent.target.server.close()
     assert outcome(send(agent, body=b"swap")) == (200, "done")
-    assert sum(one.target.runs.count(b"swap") for one in service.agents) == 1
+    assert (
+        sum(member.target.run_bodies.count(b"swap") for member in service.agents) == 1
+    )
 
 
-def test_a_leaving_agent_hands_on_what_still_arrives(service):
-    # Hazard 23: the target leaves while callers still hold connections to its agent.
+def test_a_leaving_agent_forwards_requests_that_still_arrive(service):
+    # Hazard 23: the target leaves while callers still have connections to its agent.
     agent = service.agents[0]
-    wait_for(lambda: agent.requests.dispatcher.sharing.list_heard())
+    wait_for(lambda: agent.requests.dispatcher.load_sharing.list_known_peers())
     agent.announcement.leaving = True
     wait_for(lambda: not agent.requests.is_ready())
     assert outcome(send(agent, body=b"swap")) == (200, "done")
-    assert agent.target.runs == []
+    assert agent.target.run_bodies == []
 
 
-def test_a_target_that_is_not_there_is_told_not_run(service):
-    # Hazard 24: the target refuses connections and there are no retries to spend. No
-    # byte has reached it.
+def test_a_request_for_an_unreachable_target_is_reported_not_run(service):
+    # Hazard 24: the target refuses connections and the retry budget is empty. No byte
+    # has reached the target.
     agent = service.agents[0]
     agent.target.server.close()
     reply = send(agent, body=b"swap")
     assert outcome(reply) == (503, "not-run")
 
 
-@pytest.mark.parametrize(("method", "runs"), [("POST", 0), ("GET", 1)])
+@pytest.mark.parametrize(("method", "expected_runs"), [("POST", 0), ("GET", 1)])
 def test_a_request_without_a_key_is_sent_once_unless_it_is_idempotent(
-    service, method, runs
+    service, method, expected_runs
 ):
-    # The target closes the connection after it has read the request: nobody knows
-    # whether it ran. A swap may not be tried elsewhere, a look at the roster may.
+    # The target closes the connection after it has read the request: it is unknown
+    # whether the request ran. A POST must not be retried elsewhere, a GET may be.
     agent = service.agents[0]
     for _ in range(12):
         send(agent, "GET")
-    dropped = StreamServer(("127.0.0.1", 0), lambda connection, _: connection.recv(9))
-    dropped.start()
-    wait_for(lambda: agent.requests.dispatcher.sharing.list_heard())
+    dropping_server = StreamServer(
+        ("127.0.0.1", 0), lambda connection, _: connection.recv(9)
+    )
+    dropping_server.start()
+    wait_for(lambda: agent.requests.dispatcher.load_sharing.list_known_peers())
     agent.requests.dispatcher._client.address = Address(
-        "127.0.0.1", dropped.server_port
+        "127.0.0.1", dropping_server.server_port
     )
-    before = sum(len(one.target.runs) for one in service.agents)
+    before = sum(len(member.target.run_bodies) for member in service.agents)
     reply = send(agent, method, "/x")
-    assert reply[1]["Ibisshunt-Outcome"] == ("done" if runs else "unknown")
-    assert sum(len(one.target.runs) for one in service.agents) - before == runs
-    dropped.stop()
+    assert reply[1]["Ibisshunt-Outcome"] == ("done" if expected_runs else "unknown")
+    assert (
+        sum(len(member.target.run_bodies) for member in service.agents) - before
+        == expected_runs
+    )
+    dropping_server.stop()
 
 
-def test_a_changed_record_is_followed(service):
+def test_a_changed_record_is_applied(service):
     service.slots = 2
     service.policy = RequestPolicy(queue_limit=3, timeout_ms=700, retry_share=0.5)
     service.publish()
@@ -227,115 +237,144 @@
         assert agent.requests.front.policy.timeout_ms == 700
 
 
-def test_a_feed_that_waits_stays_with_its_agent(service):
-    # Idle agents pull what waits, but a feed would tie up two agents for its life.
+def test_a_queued_event_stream_stays_at_its_agent(service):
+    # Idle agents pull queued requests, but an event stream would occupy two agents for
+    # as long as it lasts.
     agent = service.agents[0]
     agent.target.gate.clear()
     first = gevent.spawn(send, agent, "GET", "/long", Accept="text/event-stream")
-    wait_for(lambda: agent.target.runs)
+    wait_for(lambda: agent.target.run_bodies)
     second = gevent.spawn(send, agent, "GET", "/feed", Accept="text/event-stream")
-    heard = [one.requests.dispatcher.sharing.find_longest for one in service.agents[1:]]
-    wait_for(lambda: any(find(time.monotonic()) is not None for find in heard))
+    find_longest_queues = [
+        member.requests.dispatcher.load_sharing.find_longest_queue
+        for member in service.agents[1:]
+    ]
+    wait_for(
+        lambda: any(find(time.monotonic()) is not None for find in find_longest_queues)
+    )
     gevent.sleep(0.1)
     assert agent.requests.dispatcher.admission.queued == 1
     agent.target.gate.set()
     assert [first.get()[0], second.get()[0]] == [200, 200]
-    assert len(agent.target.runs) == 2
+    assert len(agent.target.run_bodies) == 2
 
 
-def test_feeds_do_not_eat_slots(service):
+def test_event_streams_do_not_occupy_slots(service):
     agent = service.agents[0]
     agent.target.mode = "feed"
-    feeds = []
+    event_streams = []
     for _ in range(3):
         raw = open_raw(agent, b"GET /feed HTTP/1.1\r\nHost: b\r\n\r\n")
         assert b"text/event-stream" in raw.recv(4096)
-        feeds.append(raw)
+        event_streams.append(raw)
     agent.target.mode = "whole"
     assert send(agent, body=b"swap")[2] == b"answer to swap"
-    assert agent.requests.dispatcher.feeds == 3
-    for raw in feeds:
+    assert agent.requests.dispatcher.event_streams == 3
+    for raw in event_streams:
         raw.close()
-    wait_for(lambda: agent.requests.dispatcher.feeds == 0)
+    wait_for(lambda: agent.requests.dispatcher.event_streams == 0)
 
 
 def test_requests_move_to_idle_agents_and_slots_are_never_exceeded(service):
-    # All connections are at one agent: the others pull what has not started.
-    for one in service.agents:
-        one.target.seconds = 0.03
-    tasks = [gevent.spawn(send, service.agents[0], body=b"%d" % n) for n in range(24)]
+    # All connections are at one agent: the others pull queued requests.
+    for member in service.agents:
+        member.target.seconds = 0.03
+    tasks = [
+        gevent.spawn(send, service.agents[0], body=b"%d" % number)
+        for number in range(24)
+    ]
     replies = [task.get() for task in tasks]
-    assert [reply[2] for reply in replies] == [b"answer to %d" % n for n in range(24)]
-    runs = [len(one.target.runs) for one in service.agents]
-    assert sum(runs) == 24
-    assert min(runs) >= 3
-    assert {one.target.most_running for one in service.agents} == {1}
+    assert [reply[2] for reply in replies] == [
+        b"answer to %d" % number for number in range(24)
+    ]
+    run_counts = [len(member.target.run_bodies) for member in service.agents]
+    assert sum(run_counts) == 24
+    assert min(run_counts) >= 3
+    assert {member.target.max_running_count for member in service.agents} == {1}
 
 
-def test_a_planned_stop_finishes_what_runs_and_refuses_the_rest(service):
+def test_a_planned_stop_finishes_running_requests_and_refuses_the_rest(service):
     # Hazard 23: the agent is stopped with one request running and one queued.
     agent = service.agents[0]
-    for one in service.agents:
-        one.target.gate.clear()
-    running = [gevent.spawn(send, one, body=b"long") for one in service.agents]
-    wait_for(lambda: all(one.target.runs for one in service.agents))
+    for member in service.agents:
+        member.target.gate.clear()
+    running = [gevent.spawn(send, member, body=b"long") for member in service.agents]
+    wait_for(lambda: all(member.target.run_bodies for member in service.agents))
     queued = gevent.spawn(send, agent, body=b"queued")
     wait_for(
-        lambda: any(one.requests.dispatcher.admission.queued for one in service.agents)
+        lambda: any(
+            member.requests.dispatcher.admission.queued for member in service.agents
+        )
     )
     assert agent.requests.is_ready()
     stopping = gevent.spawn(agent.kernel.stop)
     wait_for(lambda: not agent.requests.is_ready())
     gevent.sleep(0.05)
-    for one in service.agents:
-        one.target.gate.set()
+    for member in service.agents:
+        member.target.gate.set()
     assert [outcome(task.get()) for task in running] == [(200, "done")] * 3
     assert outcome(queued.get()) in [(200, "done"), (503, "not-run")]
     stopping.get()
-    ran = sum(one.target.runs.count(b"queued") for one in service.agents)
+    ran = sum(member.target.run_bodies.count(b"queued") for member in service.agents)
     assert ran == (outcome(queued.get())[0] == 200)
 
 
-def test_a_holder_that_dies_leaves_the_answer_with_the_other(service):
-    # Hazard 20 over real sockets: any one of the three agents is killed and removed.
+def test_the_second_replica_has_the_response_after_the_first_dies(service):
+    # Hazard 20 over real sockets: one of the three agents is killed and removed.
     replies = {
-        f"k{n}": send(service.agents[n % 3], body=b"%d" % n, Idempotency_Key=f"k{n}")
-        for n in range(9)
+        f"k{number}": send(
+            service.agents[number % 3],
+            body=b"%d" % number,
+            Idempotency_Key=f"k{number}",
+        )
+        for number in range(9)
     }
     dead = service.agents[1]
     dead.kill()
     service.remove(dead)
-    service.wait_open()
-    for n in range(9):
-        again = send(service.agents[n % 2], body=b"%d" % n, Idempotency_Key=f"k{n}")
-        assert again[2] == replies[f"k{n}"][2]
-    runs = [len(one.target.runs) for one in [*service.agents, dead]]
-    assert sum(runs) == 9
-
-
-def test_agents_that_restart_beside_living_targets_never_say_never_seen(service):
+    service.wait_until_open()
+    for number in range(9):
+        retried = send(
+            service.agents[number % 2],
+            body=b"%d" % number,
+            Idempotency_Key=f"k{number}",
+        )
+        assert retried[2] == replies[f"k{number}"][2]
+    run_counts = [len(member.target.run_bodies) for member in [*service.agents, dead]]
+    assert sum(run_counts) == 9
+
+
+def test_agents_that_restart_beside_live_targets_do_not_run_keys_again(service):
     # Hazard 20: two of three agents restart at once with empty ledgers. Their targets
-    # live on, so control leaves them their incarnations. A resend gets its answer from
-    # the third agent, or "unknown" when both holders of its key were lost.
-    for n in range(12):
-        send(service.agents[n % 3], body=b"%d" % n, Idempotency_Key=f"k{n}")
-    for place in (0, 1):
-        old = service.agents[place]
+    # are alive and keep their incarnations. A retry gets its response from the third
+    # agent, or "unknown" if both replicas of its key were lost.
+    for number in range(12):
+        send(
+            service.agents[number % 3],
+            body=b"%d" % number,
+            Idempotency_Key=f"k{number}",
+        )
+    for index in (0, 1):
+        old = service.agents[index]
         old.kill()
-        service.agents[place] = Agent(old.name, old.domain, old.incarnation, old.target)
+        service.agents[index] = Agent(old.name, old.domain, old.incarnation, old.target)
     service.left_revision = service.revision + 1
     service.publish()
-    service.wait_open()
-    told = []
-    for n in range(12):
-        again = send(service.agents[n % 3], body=b"%d" % n, Idempotency_Key=f"k{n}")
-        told.append(outcome(again))
-        assert again[0] != 200 or again[2] == b"answer to %d" % n
-    assert set(told) == {(200, "done"), (504, "unknown")}
-    assert sum(len(one.target.runs) for one in service.agents) == 12
+    service.wait_until_open()
+    outcomes = []
+    for number in range(12):
+        retried = send(
+            service.agents[number % 3],
+            body=b"%d" % number,
+            Idempotency_Key=f"k{number}",
+        )
+        outcomes.append(outcome(retried))
+        assert retried[0] != 200 or retried[2] == b"answer to %d" % number
+    assert set(outcomes) == {(200, "done"), (504, "unknown")}
+    assert sum(len(member.target.run_bodies) for member in service.agents) == 12
     fresh = [
-        outcome(send(service.agents[0], body=b"n", Idempotency_Key=f"new{n}"))
-        for n in range(12)
+        outcome(send(service.agents[0], body=b"n", Idempotency_Key=f"new{number}"))
+        for number in range(12)
     ]
     assert (200, "done") in fresh
 
@@ -347,7 +386,7 @@
         ({"Content-Length": "2000000"}, 413),
     ],
 )
-def test_bad_input_is_refused_with_a_reason(service, headers, status):
+def test_malformed_requests_are_refused_as_not_run(service, headers, status):
     size = int(headers.get("Content-Length", 1))
     with connect(service.agents[0]) as connection:
         connection.request("POST", "/x", b"x" * size, headers)
