--- a/tests/platform/test_operator.py
+++ b/tests/platform/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's orders for failure domains, as HTTP calls."""
+"""The operator drains and reopens failure domains by HTTP calls."""
 
 import json
 
@@ -8,35 +8,35 @@
 from ibisshunt.components.web import WebRequest
 from ibisshunt.coordination.versions import DomainOutcome
 from ibisshunt.exceptions import Fault
-from ibisshunt.platform.operator import answer_operator
+from ibisshunt.platform.operator import make_operator_handler
 
 DOMAINS = frozenset(("moin-a", "moin-b"))
-TAKEN = Success(DomainOutcome(True, 7, True))
+APPLIED = Success(DomainOutcome(True, 7, True))
 
 
 class FakeService:
-    """Keep the orders that arrive, and answer each in the same way."""
+    """Record the changes that arrive, and return the same result for each."""
 
     def __init__(self, result):
         self.result = result
-        self.orders = []
+        self.changes = []
 
-    def order(self, domain, is_drained):
-        self.orders.append((domain, is_drained))
+    def set_domain_drained(self, domain, is_drained):
+        self.changes.append((domain, is_drained))
         return self.result
 
 
-def call(path, result=TAKEN, domains=DOMAINS, method="POST"):
-    """Return the number of the status, the body and the orders that arrived."""
+def call(path, result=APPLIED, domains=DOMAINS, method="POST"):
+    """Return the status code, the body and the changes that arrived."""
     service = FakeService(result)
-    reply = answer_operator(service, domains)(WebRequest(method, path, b""))
-    return int(reply.status[:3]), json.loads(reply.body), service.orders
+    reply = make_operator_handler(service, domains)(WebRequest(method, path, b""))
+    return int(reply.status[:3]), json.loads(reply.body), service.changes
 
 
-@pytest.mark.parametrize(("word", "is_drained"), [("start", True), ("end", False)])
-def test_an_order_is_acknowledged_once_it_is_accepted(word, is_drained):
-    status, _, orders = call(f"/-/evacuate/moin-a/{word}")
-    assert (status, orders) == (200, [("moin-a", is_drained)])
+@pytest.mark.parametrize(("action", "is_drained"), [("start", True), ("end", False)])
+def test_a_change_is_acknowledged_once_it_is_accepted(action, is_drained):
+    status, _, changes = call(f"/-/evacuate/moin-a/{action}")
+    assert (status, changes) == (200, [("moin-a", is_drained)])
 
 
 @pytest.mark.parametrize(
@@ -50,20 +50,20 @@
         "/-/evacuate/moin-a/x/start",
     ],
 )
-def test_a_malformed_path_is_refused_with_the_reason(path):
-    status, body, orders = call(path)
-    assert (status, orders) == (404, [])
+def test_a_malformed_path_is_rejected_with_the_reason(path):
+    status, body, changes = call(path)
+    assert (status, changes) == (404, [])
     assert "expected" in body["Error"]
 
 
-def test_an_unknown_failure_domain_is_refused_with_those_that_are_known():
-    status, body, orders = call("/-/evacuate/moin-c/start")
-    assert (status, orders) == (404, [])
+def test_an_unknown_failure_domain_is_rejected_with_a_list_of_the_known():
+    status, body, changes = call("/-/evacuate/moin-c/start")
+    assert (status, changes) == (404, [])
     assert "moin-c" in body["Error"]
     assert "moin-a, moin-b" in body["Error"]
 
 
-def test_where_no_failure_domain_is_told_any_may_be_drained():
+def test_any_failure_domain_may_be_drained_when_none_are_configured():
     assert call("/-/evacuate/moin-c/start", domains=frozenset())[0] == 200
 
 
@@ -71,9 +71,10 @@
     assert call("/-/evacuate/moin-a/start", method="GET")[::2] == (404, [])
 
 
-def test_an_order_without_a_clear_outcome_is_never_told_as_refused():
-    # Guards against an operator that takes an order in flight for one without effect.
+def test_a_change_with_an_unknown_outcome_is_not_reported_as_rejected():
+    # Guards against a change that is still in flight, and may take effect later, being
+    # reported to the operator as without effect.
     fault = Failure(Fault("propose", "10.0.3.1", "not committed within 0.9 s"))
     assert call("/-/evacuate/moin-a/start", fault)[0] == 503
-    overtaken = Success(DomainOutcome(False, 9))
-    assert call("/-/evacuate/moin-a/start", overtaken)[0] == 503
+    superseded = Success(DomainOutcome(False, 9))
+    assert call("/-/evacuate/moin-a/start", superseded)[0] == 503
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -1,4 +1,4 @@
-"""The three programs as separate processes on loopback, with stand-ins around them."""
+"""The three programs run as processes on loopback, with fake targets and callers."""
 
 import re
 import signal
@@ -6,15 +6,15 @@
 import pytest
 
 from soak.standin import (
-    APP,
-    CONTROL,
-    INNER,
-    METRICS,
-    OUTWARD,
-    PACKETS,
-    PLACE,
-    READY,
+    APP_PORT,
+    CONTROL_PORT,
+    INTERNAL_PORT,
+    METRICS_PORT,
+    OUTBOUND_PORT,
+    PACKET_PORT,
+    READY_PORT,
     SERVICE,
+    VIP,
     ZONES,
     Client,
     Endpoint,
@@ -23,19 +23,19 @@
     wait_for,
 )
 
-CORE = "127.7.0.1"
-FRONTS = ("127.7.1.1", "127.7.1.2")
-LATE_FRONT = "127.7.1.3"
-SIDES = ("127.7.2.1", "127.7.2.2")
-CLIENT = "127.7.9.1"
-SEEDS = [f"{CORE}:{CONTROL}"]
+CONTROL_IP = "127.7.0.1"
+BALANCER_IPS = ("127.7.1.1", "127.7.1.2")
+LATE_BALANCER_IP = "127.7.1.3"
+AGENT_IPS = ("127.7.2.1", "127.7.2.2")
+CALLER_IP = "127.7.9.1"
+SEEDS = [f"{CONTROL_IP}:{CONTROL_PORT}"]
 CONFIG = {
     "Version": 3,
     "Routes": [
         {
             "Name": "r-1",
-            "Hostname": PLACE[0],
-            "PathPrefix": f"/{PLACE[1]}/",
+            "Hostname": VIP[0],
+            "PathPrefix": f"/{VIP[1]}/",
             "Type": "idempotent",
             "TimeoutMs": 1000,
             "Service": SERVICE,
@@ -46,89 +46,91 @@
 
 
 class System:
-    """Own all processes and stand-ins of one test."""
+    """Run the processes, fake targets and fake caller of one test."""
 
     def __init__(self, folder):
         self.folder = folder
-        control = {"Control": f"{CORE}:{CONTROL}"}
-        self.core = Process(
+        control = {"Control": f"{CONTROL_IP}:{CONTROL_PORT}"}
+        self.control = Process(
             folder,
             "control",
-            CORE,
+            CONTROL_IP,
             SEEDS,
             control,
             DataDir=str(folder / "data"),
             Bootstrap=True,
         )
-        self.fronts = []
-        for ip in FRONTS:
-            self.add_front(ip)
-        self.sides = [
+        self.balancers = []
+        for ip in BALANCER_IPS:
+            self.add_balancer(ip)
+        self.agents = [
             Process(
                 folder,
                 "agent",
                 ip,
                 SEEDS,
                 {
-                    "UdpAddr": f"{ip}:{PACKETS}",
-                    "outbound": f"{ip}:{OUTWARD}",
-                    "Control": f"{ip}:{CONTROL}",
+                    "UdpAddr": f"{ip}:{PACKET_PORT}",
+                    "outbound": f"{ip}:{OUTBOUND_PORT}",
+                    "Control": f"{ip}:{CONTROL_PORT}",
                 },
                 zone=zone,
-                app=f"{ip}:{APP}",
+                app=f"{ip}:{APP_PORT}",
                 Service=SERVICE,
                 HeartbeatMs=5000,
             )
-            for ip, zone in zip(SIDES, ZONES, strict=True)
+            for ip, zone in zip(AGENT_IPS, ZONES, strict=True)
         ]
         self.endpoints = [
-            Endpoint(ip, number) for number, ip in enumerate(SIDES, start=1)
+            Endpoint(ip, number) for number, ip in enumerate(AGENT_IPS, start=1)
         ]
-        self.client = Client(CLIENT)
+        self.client = Client(CALLER_IP)
 
-    def add_front(self, ip):
+    def add_balancer(self, ip):
         """Start a balancer."""
-        listen = {"UdpAddr": f"{ip}:{PACKETS}", "ReadyAddr": f"{ip}:{READY}"}
-        self.fronts.append(Process(self.folder, "balancer", ip, SEEDS, listen))
+        listen = {"UdpAddr": f"{ip}:{PACKET_PORT}", "ReadyAddr": f"{ip}:{READY_PORT}"}
+        self.balancers.append(Process(self.folder, "balancer", ip, SEEDS, listen))
 
-    def put(self, config=CONFIG):
+    def put_configuration(self, config=CONFIG):
         """Send a configuration until it is acknowledged."""
         path = "/-/config/put"
         wait_for(
-            lambda: call(f"{CORE}:{CONTROL}", path, config)[0] == 200,
+            lambda: call(f"{CONTROL_IP}:{CONTROL_PORT}", path, config)[0] == 200,
             "an acknowledgement",
         )
 
     def wait_until_ready(self):
         """Wait until all balancers can place flows."""
-        for ip in FRONTS:
-            wait_for(lambda ip=ip: call(f"{ip}:{READY}", "/-/ready")[0] == 200, "ready")
+        for ip in BALANCER_IPS:
+            wait_for(
+                lambda ip=ip: call(f"{ip}:{READY_PORT}", "/-/ready")[0] == 200, "ready"
+            )
 
     def wait_until_known(self):
-        """Wait until each balancer has heard that each target is open."""
-        for front in self.fronts:
-            for ip in SIDES:
+        """Wait until each balancer has logged that each target is open."""
+        for balancer in self.balancers:
+            for ip in AGENT_IPS:
                 learned = re.compile(f"target_learned peer={ip} .* state=0 ")
                 wait_for(
-                    lambda front=front, learned=learned: learned.search(
-                        front.read_log()
+                    lambda balancer=balancer, learned=learned: learned.search(
+                        balancer.read_log()
                     ),
                     "a target that is open",
                 )
 
     def show_logs(self):
-        """Print what each process has written last; shown when the test fails."""
-        for process in (self.core, *self.fronts, *self.sides):
+        """Print the end of each process's log; shown when the test fails."""
+        for process in (self.control, *self.balancers, *self.agents):
             print(f"--- {process.log.name}, exit code {process.process.poll()}")
             print(process.read_log()[-1500:])
 
     def stop(self):
-        """End everything."""
+        """Stop all processes and fakes."""
         self.show_logs()
         self.client.close()
         for endpoint in self.endpoints:
             endpoint.stop()
-        for process in (self.core, *self.fronts, *self.sides):
+        for process in (self.control, *self.balancers, *self.agents):
             process.stop()
 
 
@@ -139,192 +141,202 @@
     found.stop()
 
 
-def ask(system, front, port, opened):
-    answer = system.client.ask(front, port, opened)
+def find_holder(system, balancer, port, syn_ack):
+    """Send a request on a flow; return the name of the target that answered."""
+    answer = system.client.ask(balancer, port, syn_ack)
     assert answer is not None
-    assert not answer.resets
+    assert not answer.is_rst
     return answer.data.rpartition(b" ")[2].decode()
 
 
-def read_page(ip, version):
-    """Return the metrics page of a process that has a version in force, or None."""
-    page = call(f"{ip}:{METRICS}", "/metrics")[1].decode()
-    wanted = f"ibisshunt_configuration_version {version}"
-    return page if wanted in page.splitlines() else None
+def read_metrics(ip, version):
+    """Return a process's metrics page, or None while it has another version."""
+    page = call(f"{ip}:{METRICS_PORT}", "/metrics")[1].decode()
+    sample = f"ibisshunt_configuration_version {version}"
+    return page if sample in page.splitlines() else None
 
 
 def test_flows_go_on_through_any_balancer_restarts_and_signals(system):
-    # A flow opens through one balancer and goes on through the other. Then settings
-    # are signalled to every process, the agents are stopped as planned and start again
-    # beside living endpoints, and control is lost: each time the same endpoint answers.
-    assert call(f"{FRONTS[0]}:{READY}", "/-/ready")[0] != 200
-    system.put()
+    # A flow opens through one balancer and goes on through the other. Then each process
+    # gets SIGHUP, the agents are stopped gracefully and started again while their
+    # targets run on, and the control host is killed: the same target answers each time.
+    assert call(f"{BALANCER_IPS[0]}:{READY_PORT}", "/-/ready")[0] != 200
+    system.put_configuration()
     system.wait_until_ready()
-    opened = wait_for(lambda: system.client.open(FRONTS[0], 40_001), "a flow")
-    home = ask(system, FRONTS[0], 40_001, opened)
-    assert ask(system, FRONTS[1], 40_001, opened) == home
-
-    # Agents may learn the version a moment after the balancers that are ready.
-    shown = [
-        wait_for(lambda ip=ip: read_page(ip, version=3), f"version 3 at {ip}")
-        for ip in (CORE, *FRONTS, *SIDES)
+    syn_ack = wait_for(lambda: system.client.open(BALANCER_IPS[0], 40_001), "a flow")
+    holder = find_holder(system, BALANCER_IPS[0], 40_001, syn_ack)
+    assert find_holder(system, BALANCER_IPS[1], 40_001, syn_ack) == holder
+
+    # Agents may get the version a moment after the balancers are ready.
+    pages = [
+        wait_for(lambda ip=ip: read_metrics(ip, version=3), f"version 3 at {ip}")
+        for ip in (CONTROL_IP, *BALANCER_IPS, *AGENT_IPS)
     ]
-    assert any("ibisshunt_answer_seconds_count 1" in page for page in shown)
-    assert any('ibisshunt_openings_total{outcome="placed"} 1' in page for page in shown)
+    assert any("ibisshunt_answer_seconds_count 1" in page for page in pages)
+    assert any('ibisshunt_openings_total{outcome="placed"} 1' in page for page in pages)
 
-    for process in (system.core, *system.fronts, *system.sides):
-        process.send(signal.SIGHUP)
+    for process in (system.control, *system.balancers, *system.agents):
+        process.send_signal(signal.SIGHUP)
     wait_for(
         lambda: all(
             "settings_unchanged" in process.read_log()
-            for process in (system.core, *system.fronts, *system.sides)
+            for process in (system.control, *system.balancers, *system.agents)
         ),
-        "a look at the settings",
+        "a check of the settings",
     )
-    assert ask(system, FRONTS[1], 40_001, opened) == home
-
-    for side in system.sides:
-        side.send(signal.SIGTERM)
-        assert side.process.wait(timeout=20) == 0
-        side.start()
-    system.core.send(signal.SIGKILL)
-    system.core.process.wait()
-    found = wait_for(
-        lambda: system.client.ask(FRONTS[1], 40_001, opened), "an answer again"
+    assert find_holder(system, BALANCER_IPS[1], 40_001, syn_ack) == holder
+
+    for agent in system.agents:
+        agent.send_signal(signal.SIGTERM)
+        assert agent.process.wait(timeout=20) == 0
+        agent.start()
+    system.control.send_signal(signal.SIGKILL)
+    system.control.process.wait()
+    answer = wait_for(
+        lambda: system.client.ask(BALANCER_IPS[1], 40_001, syn_ack), "an answer again"
     )
-    assert found.data.endswith(home.encode())
+    assert answer.data.endswith(holder.encode())
 
 
 def test_no_caller_hears_the_reset_of_an_endpoint_that_never_held_its_flow(system):
-    # Agents are killed and start again beside living endpoints, and another balancer
-    # takes over that knows no flow: it lets the agents probe. Endpoints answer probes
-    # of flows that they do not hold with resets. Handed on, these would end callers'
-    # flows, which are open at the other endpoint.
-    system.put()
+    # Agents are killed and started again while their targets run on, and the flows move
+    # to a new balancer that knows none of them: it has the agents probe their targets.
+    # A target answers a probe of a flow that it does not hold with a reset. Forwarded,
+    # the reset would end the caller's flow, which is open at the other target.
+    system.put_configuration()
     system.wait_until_ready()
     system.wait_until_known()
     ports = range(40_001, 40_009)
-    opened, homes = {}, {}
+    syn_acks, holders = {}, {}
     for port in ports:
-        opened[port] = wait_for(
-            lambda port=port: system.client.open(FRONTS[0], port), "a flow"
+        syn_acks[port] = wait_for(
+            lambda port=port: system.client.open(BALANCER_IPS[0], port), "a flow"
         )
-        homes[port] = ask(system, FRONTS[0], port, opened[port])
+        holders[port] = find_holder(system, BALANCER_IPS[0], port, syn_acks[port])
     for endpoint in system.endpoints:
-        endpoint.resets_strays = True
-    for process in (*system.sides, *system.fronts):
-        process.send(signal.SIGKILL)
-        process.wait_for_end()
-    for side in system.sides:
-        side.start()
-    system.add_front(LATE_FRONT)
+        endpoint.resets_unknown_flows = True
+    for process in (*system.agents, *system.balancers):
+        process.send_signal(signal.SIGKILL)
+        process.wait_for_exit()
+    for agent in system.agents:
+        agent.start()
+    system.add_balancer(LATE_BALANCER_IP)
     for port in ports:
-        found = wait_for(
-            lambda port=port: system.client.ask(LATE_FRONT, port, opened[port]),
+        answer = wait_for(
+            lambda port=port: system.client.ask(LATE_BALANCER_IP, port, syn_acks[port]),
             "an answer",
         )
-        assert not found.resets
-        assert found.data.endswith(homes[port].encode())
+        assert not answer.is_rst
+        assert answer.data.endswith(holders[port].encode())
     assert sum(endpoint.bounced for endpoint in system.endpoints)
 
 
 def test_a_draining_endpoint_keeps_its_flows_and_gets_no_new_one(system):
-    # An endpoint says that it leaves. From the acknowledgement on no new flow may
-    # reach it, through any balancer; its open flows go on.
-    system.put()
+    # A target reports that it is draining. Once that is acknowledged, no balancer may
+    # send it a new flow; its open flows go on.
+    system.put_configuration()
     system.wait_until_ready()
     system.wait_until_known()
-    opened = wait_for(lambda: system.client.open(FRONTS[0], 40_001), "a flow")
-    home = ask(system, FRONTS[0], 40_001, opened)
-    leaving = next(found for found in system.endpoints if found.name == home)
-    leaving.state = "draining"
-    assert leaving.beat() == 200
-    flows = len(leaving.flows)
+    syn_ack = wait_for(lambda: system.client.open(BALANCER_IPS[0], 40_001), "a flow")
+    holder = find_holder(system, BALANCER_IPS[0], 40_001, syn_ack)
+    draining = next(target for target in system.endpoints if target.name == holder)
+    draining.state = "draining"
+    assert draining.send_heartbeat() == 200
+    flows = len(draining.flows)
     for port in range(41_001, 41_021):
-        answer = system.client.open(FRONTS[port % 2], port)
+        answer = system.client.open(BALANCER_IPS[port % 2], port)
         assert answer is not None
-        assert answer.opens
-    assert len(leaving.flows) == flows
-    assert ask(system, FRONTS[1], 40_001, opened) == home
+        assert answer.is_syn
+    assert len(draining.flows) == flows
+    assert find_holder(system, BALANCER_IPS[1], 40_001, syn_ack) == holder
 
 
-def open_many(system, first_port, count=12):
-    """Open flows through both balancers; return how many each endpoint got."""
+def open_flows(system, first_port, count=12):
+    """Open flows through both balancers; return how many each target got."""
     before = [len(endpoint.flows) for endpoint in system.endpoints]
     for port in range(first_port, first_port + count):
-        front = FRONTS[port % 2]
-        wait_for(lambda f=front, p=port: system.client.open(f, p), "a flow")
+        balancer = BALANCER_IPS[port % 2]
+        wait_for(lambda ip=balancer, port=port: system.client.open(ip, port), "a flow")
     after = [len(endpoint.flows) for endpoint in system.endpoints]
     return [new - old for new, old in zip(after, before, strict=True)]
 
 
 def test_a_drained_domain_gets_no_new_flow_whatever_restarts(system):
-    # Guards against an acknowledged order that is lost with processes: control is
-    # killed right after its acknowledgement, then the domain's agent and a balancer.
-    core = f"{CORE}:{CONTROL}"
-    system.put()
+    # Guards against losing an acknowledged drain when processes end: the control host
+    # is killed right after it has acknowledged, then the domain's agent and a balancer.
+    control_address = f"{CONTROL_IP}:{CONTROL_PORT}"
+    system.put_configuration()
     system.wait_until_ready()
     system.wait_until_known()
-    opened = wait_for(lambda: system.client.open(FRONTS[0], 40_001), "a flow")
-    home = ask(system, FRONTS[0], 40_001, opened)
-    drained = ZONES[[endpoint.name for endpoint in system.endpoints].index(home)]
+    syn_ack = wait_for(lambda: system.client.open(BALANCER_IPS[0], 40_001), "a flow")
+    holder = find_holder(system, BALANCER_IPS[0], 40_001, syn_ack)
+    drained = ZONES[[endpoint.name for endpoint in system.endpoints].index(holder)]
     number = ZONES.index(drained)
-    assert call(core, "/-/evacuate/nowhere/start", {})[0] == 404
-    assert call(core, f"/-/evacuate/{drained}/start", {})[0] == 200
-    system.core.send(signal.SIGKILL)
-    system.core.wait_for_end()
-    system.core.write(more={**system.core.fields["more"], "Bootstrap": False})
-    system.core.start()
-    side = system.sides[number]
-    wait_for(lambda: "state=drained" in side.read_log(), "the order at the agent")
-    assert open_many(system, 41_001)[number] == 0
-    assert ask(system, FRONTS[1], 40_001, opened) == home
-
-    for process in (side, system.fronts[0]):
-        process.send(signal.SIGKILL)
-        process.wait_for_end()
+    assert call(control_address, "/-/evacuate/nowhere/start", {})[0] == 404
+    assert call(control_address, f"/-/evacuate/{drained}/start", {})[0] == 200
+    system.control.send_signal(signal.SIGKILL)
+    system.control.wait_for_exit()
+    system.control.write(more={**system.control.fields["more"], "Bootstrap": False})
+    system.control.start()
+    agent = system.agents[number]
+    wait_for(lambda: "state=drained" in agent.read_log(), "the drain at the agent")
+    assert open_flows(system, 41_001)[number] == 0
+    assert find_holder(system, BALANCER_IPS[1], 40_001, syn_ack) == holder
+
+    for process in (agent, system.balancers[0]):
+        process.send_signal(signal.SIGKILL)
+        process.wait_for_exit()
         process.start()
     system.wait_until_ready()
-    assert open_many(system, 42_001)[number] == 0
+    assert open_flows(system, 42_001)[number] == 0
 
-    wait_for(lambda: call(core, f"/-/evacuate/{drained}/end", {})[0] == 200, "the end")
+    wait_for(
+        lambda: call(control_address, f"/-/evacuate/{drained}/end", {})[0] == 200,
+        "the end of the drain",
+    )
     wait_for(
         lambda: re.search(
-            "own_domain_state .*state=open revision=[1-9]", side.read_log()
+            "own_domain_state .*state=open revision=[1-9]", agent.read_log()
         ),
-        "the end at the agent",
+        "the end of the drain at the agent",
     )
-    wait_for(lambda: open_many(system, 43_001)[number], "new flows in the domain")
+    wait_for(lambda: open_flows(system, 43_001)[number], "new flows in the domain")
 
 
 def test_configurations_never_revert_and_invalid_ones_are_refused(system):
-    # An older version, other content under the version that is held, and an invalid
-    # one arrive after version 3; then control loses power and starts again. What is
-    # read is version 3 as it was sent.
-    system.put()
-    put, get = "/-/config/put", "/-/config/get"
-    core = f"{CORE}:{CONTROL}"
-    assert call(core, put, {**CONFIG, "Version": 2})[0] == 200
-    assert call(core, put, {**CONFIG, "Routes": []})[0] == 200
+    # After version 3 arrive an older version, other content under version 3 and an
+    # invalid version; then the control host is killed and started again. The stored
+    # configuration is version 3 as it was first sent.
+    system.put_configuration()
+    put_path, get_path = "/-/config/put", "/-/config/get"
+    control_address = f"{CONTROL_IP}:{CONTROL_PORT}"
+    assert call(control_address, put_path, {**CONFIG, "Version": 2})[0] == 200
+    assert call(control_address, put_path, {**CONFIG, "Routes": []})[0] == 200
     invalid = {**CONFIG, "Version": 9, "Services": []}
-    assert call(core, put, invalid)[0] == 400
-    status, body = call(core, get)
+    assert call(control_address, put_path, invalid)[0] == 400
+    status, body = call(control_address, get_path)
     assert status == 200
-    system.core.send(signal.SIGKILL)
-    system.core.process.wait()
-    system.core.write(more={**system.core.fields["more"], "Bootstrap": False})
-    system.core.start()
-    wait_for(lambda: call(core, get)[0] == 200, "a read")
-    assert call(core, get) == (200, body)
+    system.control.send_signal(signal.SIGKILL)
+    system.control.process.wait()
+    system.control.write(more={**system.control.fields["more"], "Bootstrap": False})
+    system.control.start()
+    wait_for(lambda: call(control_address, get_path)[0] == 200, "a read")
+    assert call(control_address, get_path) == (200, body)
     assert b'"Version": 3' in body
 
 
 def test_a_process_without_its_settings_says_what_is_missing(tmp_path):
-    process = Process(tmp_path, "balancer", FRONTS[0], ["nowhere"], {})
+    process = Process(tmp_path, "balancer", BALANCER_IPS[0], ["nowhere"], {})
     assert process.process.wait(timeout=20) == 2
     assert "Seeds" in process.read_log()
     process.stop()
 
 
-def test_the_inner_port_is_one_for_all():
-    assert INNER not in (PACKETS, OUTWARD, APP, CONTROL, READY)
+def test_the_internal_port_differs_from_every_other_port():
+    assert INTERNAL_PORT not in (
+        PACKET_PORT,
+        OUTBOUND_PORT,
+        APP_PORT,
+        CONTROL_PORT,
+        READY_PORT,
+    )
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,11 +1,11 @@
-"""The platform's settings file is read, checked and explained."""
+"""The platform's settings file is read and validated, and errors name the field."""
 
 import pytest
 from hypothesis import given, strategies as st
 
 from ibisshunt.exceptions import SettingsError
 from ibisshunt.model.address import Address
-from ibisshunt.platform.settings import find_path, read_settings
+from ibisshunt.platform.settings import get_settings_path, read_settings
 
 AGENT = """
 NodeName = "side-a-1"
@@ -36,18 +36,26 @@
 
 
 def test_the_settings_are_translated(tmp_path):
-    found = read_settings(write(tmp_path, AGENT))
-    assert found.inner == Address("10.1.0.13", 7720)
-    assert found.inner_calls == Address("10.1.0.13", 7721)
-    assert found.seeds == ("10.1.0.16", "10.2.0.45")
-    assert found.target == Address("10.1.0.13", 8165)
-    assert found.outward == Address("10.1.0.13", 8162)
-    assert (found.losses, found.max_flow, found.heartbeat) == (2, 45.0, 1.2)
-    assert found.ready is None
+    settings = read_settings(write(tmp_path, AGENT))
+    assert settings.internal_address == Address("10.1.0.13", 7720)
+    assert settings.internal_rpc_address == Address("10.1.0.13", 7721)
+    assert settings.seeds == ("10.1.0.16", "10.2.0.45")
+    assert settings.target == Address("10.1.0.13", 8165)
+    assert settings.outbound_address == Address("10.1.0.13", 8162)
+    assert (
+        settings.fault_tolerance,
+        settings.max_flow_seconds,
+        settings.heartbeat_seconds,
+    ) == (
+        2,
+        45.0,
+        1.2,
+    )
+    assert settings.ready is None
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "reported"),
     [
         ('Ip = "10.1.0.13"', "", "ip"),
         ('Ip = "10.1.0.13"', "Ip = 7", "ip"),
@@ -57,14 +65,16 @@
         ("[Bounds]", "[Bounds", "line"),
     ],
 )
-def test_a_wrong_setting_is_named(tmp_path, old, new, told):
+def test_an_invalid_setting_is_named(tmp_path, old, new, reported):
     with pytest.raises(SettingsError) as caught:
         read_settings(write(tmp_path, AGENT.replace(old, new)))
-    assert told.lower() in str(caught.value).lower()
+    assert reported.lower() in str(caught.value).lower()
 
 
 @given(st.text(max_size=60))
-def test_any_text_is_read_or_explained(tmp_path_factory, text):
+def test_any_text_that_is_not_valid_settings_raises_settings_error(
+    tmp_path_factory, text
+):
     path = tmp_path_factory.mktemp("settings") / "local.toml"
     path.write_text(text, encoding="utf-8", newline="")
     with pytest.raises(SettingsError):
@@ -74,4 +84,4 @@
 def test_a_missing_variable_is_named(monkeypatch):
     monkeypatch.delenv("IBISSHUNT_NODE_FILE", raising=False)
     with pytest.raises(SettingsError, match="IBISSHUNT_NODE_FILE"):
-        find_path()
+        get_settings_path()
--- a/tests/protocol/test_framed.py
+++ b/tests/protocol/test_framed.py
@@ -1,4 +1,4 @@
-"""Calls over framed TCP: typed, side by side, and never hung for good."""
+"""Calls over framed TCP run concurrently and never hang."""
 
 from dataclasses import dataclass
 
@@ -22,43 +22,46 @@
 UNKNOWN = Method("Unknown", Number, Number)
 
 
-def slow(request, context):
+def reply_slowly(request, context):
     gevent.sleep(0.3)
     return request
 
 
 @pytest.fixture
 def channel():
-    handlers = {DOUBLE: lambda found, context: Number(2 * found.value), SLOW: slow}
+    handlers = {
+        DOUBLE: lambda request, context: Number(2 * request.value),
+        SLOW: reply_slowly,
+    }
     server = FramedServer(Address("127.0.0.1", 0), handlers)
     server.start()
-    found = FramedChannel(Address(*server._server.address))
-    yield found
-    found.close()
+    client = FramedChannel(Address(*server._server.address))
+    yield client
+    client.close()
     server.stop()
 
 
-def test_a_slow_call_does_not_hold_up_the_others(channel):
-    waiting = gevent.spawn(channel.call, SLOW, Number(1), 5.0)
+def test_a_slow_call_does_not_delay_others(channel):
+    slow_call = gevent.spawn(channel.call, SLOW, Number(1), 5.0)
     gevent.sleep(0)
     assert channel.call(DOUBLE, Number(4), 5.0) == Number(8)
-    assert not waiting.ready()
-    assert waiting.get() == Number(1)
+    assert not slow_call.ready()
+    assert slow_call.get() == Number(1)
 
 
-def test_an_unknown_method_is_named(channel):
+def test_the_error_names_an_unknown_method(channel):
     with pytest.raises(RpcError, match="Unknown"):
         channel.call(UNKNOWN, Number(1), 5.0)
     assert channel.call(DOUBLE, Number(1), 5.0) == Number(2)
 
 
-def test_a_connection_that_fell_silent_is_replaced():
-    # A connection goes silent without a reset, and new ones work: the call that ran
-    # into it fails after its timeout, the next one must not wait on it again.
-    silent = []
+def test_an_unresponsive_connection_is_replaced():
+    # The peer becomes unreachable without a reset. The pending call times out, and the
+    # next one must open a new connection instead of waiting on the old one.
+    accepted = []
 
     def serve(connection, peer):
-        silent.append(connection)
+        accepted.append(connection)
         gevent.sleep(30)
 
     server = StreamServer(("127.0.0.1", 0), serve)
@@ -68,12 +71,12 @@
         with pytest.raises(RpcError, match="no answer"):
             channel.call(DOUBLE, Number(1), 0.1)
     gevent.sleep(0)
-    assert len(silent) == 2
+    assert len(accepted) == 2
     channel.close()
     server.stop(timeout=0)
 
 
-def test_a_peer_that_is_not_there_is_named():
+def test_the_error_names_an_unreachable_peer():
     channel = FramedChannel(Address("127.0.0.1", 1))
     with pytest.raises(RpcError, match="127.0.0.1:1"):
         channel.call(DOUBLE, Number(1), 1.0)
--- a/tests/protocol/test_many_channels.py
+++ b/tests/protocol/test_many_channels.py
@@ -14,9 +14,9 @@
 NODES = 30
 
 
-def test_many_nodes_of_one_process_are_served_side_by_side():
-    # Every node gets its reply: thirty connections hold a stream open at once, and
-    # gRPC needs a polling thread for each; a small pool would stop all of them.
+def test_many_channels_of_one_process_are_served_concurrently():
+    # gRPC needs one polling thread for each of the thirty open streams: with a smaller
+    # pool all connections of the process stop.
     def watch(request, context):
         yield ConfigurationUpdate(0, 1, (), (), 0)
         while context.is_active():
--- a/tests/protocol/test_rpc.py
+++ b/tests/protocol/test_rpc.py
@@ -15,7 +15,7 @@
 from ibisshunt.protocol.rpc import Channel, Server
 
 
-def test_a_call_gets_its_typed_reply():
+def test_a_call_returns_the_typed_reply():
     server = Server(
         Address("127.0.0.1", 0),
         {REPORT: lambda request, context: ReportReply(request.revision + 1)},
@@ -27,7 +27,7 @@
     server.stop()
 
 
-def test_a_stream_yields_typed_updates_and_a_dead_peer_is_named():
+def test_a_stream_yields_updates_and_the_error_names_a_stopped_peer():
     def watch(request, context):
         yield ConfigurationUpdate(0, request.since + 1, (), (), 7)
 
@@ -43,14 +43,14 @@
     channel.close()
 
 
-class SilentRelay:
-    """Copy bytes between a channel and a server until it is told to fall silent.
+class PartitionableProxy:
+    """A TCP proxy between a channel and a server that can simulate a partition.
 
-    ``delay`` holds each part up, in seconds.
+    ``delay`` is the time in seconds before each chunk is sent on.
     """
 
     def __init__(self, server, delay=0.0):
-        self.is_silent = False
+        self.is_partitioned = False
         self._delay = delay
         self._server = server
         self._sockets = []
@@ -60,28 +60,28 @@
 
     def stop(self):
         gevent.killall(self._tasks)
-        for found in (self._listener, *self._sockets):
-            found.close()
+        for connection in (self._listener, *self._sockets):
+            connection.close()
 
     def _accept(self):
         while True:
-            near, _ = self._listener.accept()
-            far = socket.create_connection((self._server.ip, self._server.port))
-            self._sockets += [near, far]
-            for pair in ((near, far), (far, near)):
+            client, _ = self._listener.accept()
+            server = socket.create_connection((self._server.ip, self._server.port))
+            self._sockets += [client, server]
+            for pair in ((client, server), (server, client)):
                 self._tasks.append(gevent.spawn(self._copy, *pair))
 
     def _copy(self, source, sink):
-        # What comes after the silence began is read and lost, as behind a partition.
-        while part := source.recv(65_536):
+        # Bytes received during the partition are lost, and no reset is sent.
+        while chunk := source.recv(65_536):
             gevent.sleep(self._delay)
-            if not self.is_silent:
-                sink.sendall(part)
+            if not self.is_partitioned:
+                sink.sendall(chunk)
 
 
 @pytest.fixture
-def watched():
-    """Yield a relay to a server whose stream brings one update and no more."""
+def proxy():
+    """Yield a proxy to a server whose stream sends a single update."""
     release = event.Event()
 
     def watch(request, context):
@@ -90,24 +90,23 @@
 
     server = Server(Address("127.0.0.1", 0), {WATCH: watch})
     server.start()
-    relay = SilentRelay(server.address)
-    yield relay
+    running = PartitionableProxy(server.address)
+    yield running
     release.set()
-    relay.stop()
+    running.stop()
     server.stop()
 
 
-@pytest.mark.parametrize("settled", [0.0, 0.5])
-def test_a_stream_whose_connection_fell_silent_ends(watched, settled):
-    # A node watches control. The path between them goes silent without a reset, as
-    # behind a partition, while a ping of the library is under way or later. Without a
-    # sign of life of its own the stream would wait for its next update for ever, and
-    # the node would keep an old configuration.
-    channel = Channel(watched.address)
+@pytest.mark.parametrize("seconds_open", [0.0, 0.5])
+def test_a_stream_ends_when_its_peer_becomes_unreachable(proxy, seconds_open):
+    # A node watches a control host, and a partition separates them without a reset,
+    # while one of gRPC's own pings is pending or later. Without keepalive pings the
+    # stream would wait forever, and the node would keep an old configuration.
+    channel = Channel(proxy.address)
     updates = channel.stream(WATCH, WatchRequest("b1", 3))
     assert next(updates).revision == 1
-    gevent.sleep(settled)
-    watched.is_silent = True
+    gevent.sleep(seconds_open)
+    proxy.is_partitioned = True
     try:
         with gevent.Timeout(40), pytest.raises(RpcError):
             next(updates)
@@ -115,20 +114,20 @@
         channel.close()
 
 
-def test_a_peer_whose_handshake_is_slow_is_reached():
-    # A busy host takes some tenths of a second for each step of the handshake. The
-    # operator's change must reach it, and not fail because the attempt was cut off.
+def test_a_peer_with_a_slow_handshake_is_reached():
+    # A busy host needs some tenths of a second for each step of the handshake. A call
+    # to it must not fail because the connection attempt timed out.
     server = Server(
         Address("127.0.0.1", 0),
         {REPORT: lambda request, context: ReportReply(request.revision + 1)},
     )
     server.start()
-    relay = SilentRelay(server.address, delay=0.2)
-    channel = Channel(relay.address)
+    slow_proxy = PartitionableProxy(server.address, delay=0.2)
+    channel = Channel(slow_proxy.address)
     try:
         reply = channel.call(REPORT, ReportRequest("b1", "balancer", 4))
         assert reply == ReportReply(5)
     finally:
         channel.close()
-        relay.stop()
+        slow_proxy.stop()
         server.stop()
--- a/tests/races/__init__.py
+++ b/tests/races/__init__.py
@@ -1,5 +1,5 @@
-"""Callers, balancers, agents and targets of one service, with delays on every way.
+"""Simulation of callers, balancers, agents and targets on links with delay and loss.
 
-Messages overtake each other and are lost as on real links, so that the orders come up
-in which a crash, a heartbeat and a packet of an open flow can meet.
+Messages are reordered and lost as on real links, so that crashes, heartbeats and
+packets of open flows arrive in every order.
 """
--- a/tests/races/balancer_node.py
+++ b/tests/races/balancer_node.py
@@ -1,75 +1,75 @@
-"""Drive a balancer as its task does, on the race world's clock."""
+"""Balancer in the simulation, driven as by its task."""
 
 from ibisshunt.coordination.forwarding.balancer import Balancer
 from ibisshunt.coordination.forwarding.messages import (
-    Gathered,
-    Known,
+    AggregatedAnswers,
+    FlowLocations,
+    LocationQuery,
     Pong,
-    Returned,
-    Seek,
-    Send,
+    RejectedPacket,
+    SendMessage,
     Status,
 )
-from tests.forwarding_world import make_table
+from tests.forwarding_world import make_route_table
 from tests.races.timing import (
-    BUSY_SWEEP_SECONDS,
+    BUSY_TICK_SECONDS,
     CALLER_SECONDS,
-    IDLE_SWEEP_SECONDS,
+    IDLE_TICK_SECONDS,
 )
 
 
 class BalancerNode:
-    """Drive one balancer."""
+    """Balancer that is driven by simulated events."""
 
     def __init__(self, world, address, domain):
         self.world, self.address, self.domain = world, address, domain
-        self.balancer = Balancer(world.random.random, self.tell_event, world.now)
-        self.balancer.take_routes(make_table())
-        world.after(world.random.uniform(0, IDLE_SWEEP_SECONDS), self.sweep)
+        self.balancer = Balancer(world.random.random, self.log_event, world.now)
+        self.balancer.update_routes(make_route_table())
+        world.call_later(world.random.uniform(0, IDLE_TICK_SECONDS), self.tick)
 
-    def tell_event(self, event, **fields):
+    def log_event(self, event, **fields):
         if "flow" in fields:
             key = bytes.fromhex(fields.pop("flow"))
             self.world.trace(key, event, self.address, fields)
 
-    def sweep(self):
+    def tick(self):
         self.balancer.peers = tuple(
             address for address in self.world.balancers if address != self.address
         )
-        self.carry_out(self.balancer.sweep(self.world.now))
-        is_busy = self.balancer.is_busy()
-        pause = BUSY_SWEEP_SECONDS if is_busy else IDLE_SWEEP_SECONDS
-        self.world.after(pause, self.sweep)
+        self.carry_out(self.balancer.tick(self.world.now))
+        is_busy = self.balancer.has_pending_work()
+        pause = BUSY_TICK_SECONDS if is_busy else IDLE_TICK_SECONDS
+        self.world.call_later(pause, self.tick)
 
-    def take(self, peer, message):
+    def handle_message(self, peer, message):
         now, balancer = self.world.now, self.balancer
         if isinstance(message, Status):
-            balancer.learn(peer, message, now)
-            if balancer.state.openings and message.active <= message.slots:
-                self.carry_out(balancer.open_again(now))
-        elif isinstance(message, Returned):
+            balancer.handle_status(peer, message, now)
+            if balancer.state.pending_syns and message.active_requests <= message.slots:
+                self.carry_out(balancer.retry_pending(now))
+        elif isinstance(message, RejectedPacket):
             segment = self.world.segments[message.packet]
-            self.carry_out(balancer.take_returned(peer, message, segment, now))
-        elif isinstance(message, Gathered):
-            self.carry_out(balancer.take_gathered(message, now))
+            self.carry_out(balancer.handle_rejected_packet(peer, message, segment, now))
+        elif isinstance(message, AggregatedAnswers):
+            self.carry_out(balancer.handle_aggregated_answers(message, now))
         elif isinstance(message, Pong):
-            balancer.take_pong(peer, message.number, now)
-        elif isinstance(message, Seek):
-            known = balancer.tell_known(message, now)
-            if known is not None:
-                self.world.send(self.address, peer, known)
-        elif isinstance(message, Known):
-            self.carry_out(balancer.take_known(message, now))
+            balancer.handle_pong(peer, message.sequence, now)
+        elif isinstance(message, LocationQuery):
+            locations = balancer.answer_location_query(message, now)
+            if locations is not None:
+                self.world.send(self.address, peer, locations)
+        elif isinstance(message, FlowLocations):
+            self.carry_out(balancer.handle_flow_locations(message, now))
 
-    def take_packet(self, segment):
-        self.carry_out(self.balancer.take(segment, self.world.now))
+    def handle_packet(self, segment):
+        self.carry_out(self.balancer.handle_packet(segment, self.world.now))
 
     def carry_out(self, actions):
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self.world.send(self.address, action.peer, action.message)
                 continue
             key = action.segment.key
             self.world.trace(key, "reset", self.address, action.reason)
             delay = self.world.draw_delay(CALLER_SECONDS)
-            self.world.after(delay, self.world.reset, action.segment)
+            self.world.call_later(delay, self.world.reset, action.segment)
--- a/tests/races/caller.py
+++ b/tests/races/caller.py
@@ -1,18 +1,18 @@
-"""A caller that keeps a flow open for many requests, with pauses between them."""
+"""Caller in the simulation."""
 
 from dataclasses import dataclass, field
 
 from msgspec.structs import replace
 
 from ibisshunt.coordination.forwarding.segment import Segment
-from tests.forwarding_world import PLACE
+from tests.forwarding_world import VIP
 from tests.races.target import ANSWER
 from tests.races.timing import (
-    COPY_SECONDS,
-    GIVE_UP_SECONDS,
-    LAST_COPY_SECONDS,
-    PAUSES_SECONDS,
-    REPEAT_SECONDS,
+    LAST_SYN_COPY_SECONDS,
+    MAX_PAUSES_SECONDS,
+    REQUEST_TIMEOUT_SECONDS,
+    RETRANSMISSION_SECONDS,
+    SYN_COPY_SECONDS,
 )
 
 REQUEST = b"GET / HTTP/1.1\r\n\r\n"
@@ -20,129 +20,140 @@
 
 @dataclass
 class Connection:
-    """Hold one flow as its caller sees it."""
+    """State of a flow at its caller."""
 
     key: bytes
     sequence: int
-    first: int | None = None
+    target_first_sequence: int | None = None
     acknowledgement: int = 0
-    got: set = field(default_factory=set)
-    waits: bool = False
-    is_over: bool = False
-    used_at: float = 0.0
-    # How long its caller had paused before the last request, in seconds.
-    paused: float = 0.0
+    received: set = field(default_factory=set)
+    is_waiting: bool = False
+    is_closed: bool = False
+    last_sent_at: float = 0.0
+    # Length of the pause before the last request.
+    pause_seconds: float = 0.0
 
 
 class Caller:
-    """Keep one flow open for many requests, with pauses between them."""
+    """Caller that keeps one flow open for many requests, with pauses between them."""
 
     def __init__(self, world, number):
         self.world = world
         self.address = bytes((100, 64, number // 250, number % 250))
         self.port = 1024
         self.connection = None
-        world.after(world.random.uniform(0, 1), self.open)
+        world.call_later(world.random.uniform(0, 1), self.open)
 
     def open(self):
         self.port += 1
-        key = self.address + self.port.to_bytes(2, "big") + PLACE
+        key = self.address + self.port.to_bytes(2, "big") + VIP
         self.connection = Connection(key, self.world.random.randrange(1 << 32))
         self.world.connections[key] = self, self.connection
-        self.world.trace(key, "opens", "caller", "")
-        self.send_opening(self.connection, 0)
+        self.world.trace(key, "opened", "caller", "")
+        self.send_syn(self.connection, 0)
 
-    def send_opening(self, connection, copies):
-        if connection.first is not None or connection.is_over:
+    def send_syn(self, connection, copy_number):
+        if connection.target_first_sequence is not None or connection.is_closed:
             return
-        waited = (0.0, *COPY_SECONDS)[copies]
+        syn_age = (0.0, *SYN_COPY_SECONDS)[copy_number]
         packet = Segment(
-            connection.key, b"", b"", connection.sequence, 0, opens=True, waited=waited
+            connection.key,
+            b"",
+            b"",
+            connection.sequence,
+            0,
+            is_syn=True,
+            syn_age=syn_age,
         )
         self.world.send_packet(packet)
-        if copies:
-            self.world.trace(connection.key, "copy", "caller", "")
-        if copies < len(COPY_SECONDS):
-            pause = COPY_SECONDS[copies] - waited
-            self.world.after(pause, self.send_opening, connection, copies + 1)
+        if copy_number:
+            self.world.trace(connection.key, "SYN copy", "caller", "")
+        if copy_number < len(SYN_COPY_SECONDS):
+            pause = SYN_COPY_SECONDS[copy_number] - syn_age
+            self.world.call_later(pause, self.send_syn, connection, copy_number + 1)
         else:
-            self.world.after(LAST_COPY_SECONDS, self.give_up, connection)
+            self.world.call_later(LAST_SYN_COPY_SECONDS, self.give_up_syn, connection)
 
-    def give_up(self, connection):
-        if connection.first is None and not connection.is_over:
-            self.begin_anew(connection)
+    def give_up_syn(self, connection):
+        if connection.target_first_sequence is None and not connection.is_closed:
+            self.open_another(connection)
 
-    def begin_anew(self, connection):
-        connection.is_over = True
-        self.world.after(self.world.random.uniform(0, 0.05), self.open)
+    def open_another(self, connection):
+        connection.is_closed = True
+        self.world.call_later(self.world.random.uniform(0, 0.05), self.open)
 
-    def take(self, connection, segment):
-        if connection.is_over:
+    def handle_packet(self, connection, segment):
+        if connection.is_closed:
             return
-        if segment.resets:
-            self.begin_anew(connection)
+        if segment.is_rst:
+            self.open_another(connection)
             return
-        if segment.finishes:
+        if segment.is_fin:
             connection.acknowledgement = segment.sequence + 1
             self.send(connection, b"")
-            self.finish(connection)
+            self.close(connection)
             return
-        if segment.opens and connection.first is None:
-            connection.first = segment.sequence
+        if segment.is_syn and connection.target_first_sequence is None:
+            connection.target_first_sequence = segment.sequence
             connection.acknowledgement = segment.sequence + 1
             connection.sequence += 1
-            self.ask(connection)
+            self.send_request(connection)
             return
         if segment.sequence == connection.acknowledgement and segment.data:
             connection.acknowledgement += len(segment.data)
-            connection.got.add(segment.sequence)
-            if len(connection.got) == len(ANSWER):
-                connection.got.clear()
-                connection.waits = False
+            connection.received.add(segment.sequence)
+            if len(connection.received) == len(ANSWER):
+                connection.received.clear()
+                connection.is_waiting = False
                 self.send(connection, b"")
-                pause = self.world.random.choice(PAUSES_SECONDS)
-                self.world.after(
-                    self.world.pauses * self.world.random.uniform(0, pause),
-                    self.ask,
+                pause = self.world.random.choice(MAX_PAUSES_SECONDS)
+                self.world.call_later(
+                    self.world.pause_factor * self.world.random.uniform(0, pause),
+                    self.send_request,
                     connection,
                 )
 
-    def ask(self, connection):
-        if connection.is_over or connection.waits:
+    def send_request(self, connection):
+        if connection.is_closed or connection.is_waiting:
             return
-        connection.waits = True
-        connection.paused = self.world.now - connection.used_at
+        connection.is_waiting = True
+        connection.pause_seconds = self.world.now - connection.last_sent_at
         self.send(connection, REQUEST)
-        self.world.after(REPEAT_SECONDS, self.repeat, connection, connection.sequence)
-        self.world.after(
-            GIVE_UP_SECONDS, self.leave_late, connection, connection.sequence
+        self.world.call_later(
+            RETRANSMISSION_SECONDS, self.retransmit, connection, connection.sequence
+        )
+        self.world.call_later(
+            REQUEST_TIMEOUT_SECONDS,
+            self.give_up_request,
+            connection,
+            connection.sequence,
         )
         connection.sequence += len(REQUEST)
 
-    def repeat(self, connection, sequence):
-        if not connection.waits or connection.is_over:
+    def retransmit(self, connection, sequence):
+        if not connection.is_waiting or connection.is_closed:
             return
         if connection.sequence == sequence + len(REQUEST):
-            packet = self.make(connection, REQUEST)
+            packet = self.make_packet(connection, REQUEST)
             self.world.send_packet(replace(packet, sequence=sequence))
 
-    def leave_late(self, connection, sequence):
-        if connection.waits and connection.sequence == sequence + len(REQUEST):
-            self.finish(connection)
+    def give_up_request(self, connection, sequence):
+        if connection.is_waiting and connection.sequence == sequence + len(REQUEST):
+            self.close(connection)
 
-    def finish(self, connection):
-        self.world.send_packet(replace(self.make(connection, b""), finishes=True))
-        self.begin_anew(connection)
+    def close(self, connection):
+        self.world.send_packet(replace(self.make_packet(connection, b""), is_fin=True))
+        self.open_another(connection)
 
-    def make(self, connection, data):
+    def make_packet(self, connection, data):
         return Segment(
             connection.key,
             b"",
             data,
             connection.sequence,
             connection.acknowledgement,
-            acknowledges=True,
+            is_ack=True,
         )
 
     def send(self, connection, data):
-        self.world.send_packet(self.make(connection, data))
+        self.world.send_packet(self.make_packet(connection, data))
--- a/tests/races/target.py
+++ b/tests/races/target.py
@@ -1,15 +1,15 @@
-"""A target that holds flows and answers requests, crashes and is back."""
+"""Target in the simulation."""
 
 from msgspec.structs import replace
 
-from ibisshunt.coordination.forwarding.holding.incarnations import Announcement
 from ibisshunt.coordination.forwarding.segment import Segment
+from ibisshunt.coordination.forwarding.target_tracking.incarnations import Heartbeat
 from tests.forwarding_world import SERVICE
 from tests.races.timing import (
     FIRST_HEARTBEAT_SECONDS,
     HANDSHAKE_SECONDS,
+    HEARTBEAT_DELAY_SECONDS,
     HEARTBEAT_SECONDS,
-    HEARTBEAT_WAY_SECONDS,
     LATE_HEARTBEAT_SECONDS,
     MAX_QUEUE,
     SERVICE_SECONDS,
@@ -19,118 +19,129 @@
 
 
 class Target:
-    """Hold flows and serve one request after the other, as an endpoint does."""
+    """Target that holds flows, serves one request at a time, and may crash."""
 
     def __init__(self, world, address, name):
         self.world, self.address, self.name = world, address, name
         self.agent = world.agents[address]
-        # The next number to send in each flow, by key.
-        self.open = {}
-        # The numbers with which openings were answered that no caller has taken yet.
-        self.offered = {}
-        self.ended = set()
-        self.answered = set()
+        # The next sequence number to send in each open flow, by key.
+        self.next_sequences = {}
+        # The sequence numbers of SYN-ACKs that no caller has accepted yet, by key.
+        self.syn_ack_sequences = {}
+        self.closed = set()
+        self.accepted_requests = set()
         self.queue = []
-        self.beats = 0
-        self.is_there = True
-        first = world.random.uniform(0.0005, FIRST_HEARTBEAT_SECONDS)
-        world.after(first, self.beat)
-
-    def beat(self):
-        """Send a heartbeat, and go on with that."""
-        if not self.is_there:
+        self.heartbeat_sequence = 0
+        self.is_running = True
+        first_delay = world.random.uniform(0.0005, FIRST_HEARTBEAT_SECONDS)
+        world.call_later(first_delay, self.send_heartbeat)
+
+    def send_heartbeat(self):
+        """Send a heartbeat, and schedule the next one."""
+        if not self.is_running:
             return
-        self.beats += 1
-        found = Announcement(self.name, SERVICE, 1, False, 0, self.beats)
-        self.world.after(self._draw_way(), self.agent.announce, found)
-        self.world.after(HEARTBEAT_SECONDS, self.beat)
+        self.heartbeat_sequence += 1
+        heartbeat = Heartbeat(self.name, SERVICE, 1, False, 0, self.heartbeat_sequence)
+        self.world.call_later(
+            self._draw_heartbeat_delay(), self.agent.handle_heartbeat, heartbeat
+        )
+        self.world.call_later(HEARTBEAT_SECONDS, self.send_heartbeat)
 
     def crash(self):
-        """End at once: the host closes the flows and returns all that comes."""
-        self.is_there = False
+        """Stop at once: the host closes all flows and bounces later packets."""
+        self.is_running = False
         self.queue.clear()
-        for key in tuple(self.open):
-            self._finish(key)
+        for key in tuple(self.next_sequences):
+            self._close(key)
 
-    def take(self, segment, origin):
-        """Take a packet that the agent hands over."""
-        if segment.opens:
-            self._take_opening(segment, origin)
+    def handle_packet(self, segment, balancer):
+        """Handle a packet that the agent delivers."""
+        if segment.is_syn:
+            self._handle_syn(segment, balancer)
             return
         key = segment.key
-        first = segment.acknowledgement - 1
-        if key not in self.open and first in self.offered.get(key, ()):
-            del self.offered[key]
-            self.open[key] = first + 1
-            self.ended.discard(key)
-            self.world.trace(key, "held", self.name, first)
-        if key in self.ended:
-            self._answer_ended(segment)
-        elif key not in self.open:
-            self.agent.hear(replace(segment, returned=True, origin=origin))
-        elif segment.finishes:
-            self.say(acknowledge(key, self.open[key]))
-            self._finish(key)
+        first_sequence = segment.acknowledgement - 1
+        if (
+            key not in self.next_sequences
+            and first_sequence in self.syn_ack_sequences.get(key, ())
+        ):
+            del self.syn_ack_sequences[key]
+            self.next_sequences[key] = first_sequence + 1
+            self.closed.discard(key)
+            self.world.trace(key, "accepted", self.name, first_sequence)
+        if key in self.closed:
+            self._answer_closed(segment)
+        elif key not in self.next_sequences:
+            self.agent.receive_from_target(
+                replace(segment, is_bounced=True, balancer=balancer)
+            )
+        elif segment.is_fin:
+            self.send(acknowledge(key, self.next_sequences[key]))
+            self._close(key)
         elif segment.data:
-            self._take_request(segment)
+            self._handle_request(segment)
 
-    def say(self, segment):
-        """Send a packet, through the agent."""
-        self.agent.hear(segment)
+    def send(self, segment):
+        """Send a packet through the agent."""
+        self.agent.receive_from_target(segment)
 
-    def _draw_way(self):
-        share = self.world.late_heartbeats
-        if share and self.world.random.random() < share:
+    def _draw_heartbeat_delay(self):
+        late_share = self.world.late_heartbeats
+        if late_share and self.world.random.random() < late_share:
             return self.world.random.uniform(0, LATE_HEARTBEAT_SECONDS)
-        return HEARTBEAT_WAY_SECONDS
+        return HEARTBEAT_DELAY_SECONDS
 
-    def _take_opening(self, segment, origin):
-        if not self.is_there or len(self.queue) > MAX_QUEUE:
-            self.agent.hear(replace(segment, returned=True, origin=origin))
+    def _handle_syn(self, segment, balancer):
+        if not self.is_running or len(self.queue) > MAX_QUEUE:
+            self.agent.receive_from_target(
+                replace(segment, is_bounced=True, balancer=balancer)
+            )
             return
-        # Each copy is answered with a number of its own; the caller takes one.
-        first = self.world.draw_number()
-        self.offered.setdefault(segment.key, set()).add(first)
-        answer = Segment(segment.key, b"", b"", first, 1, opens=True, acknowledges=True)
-        self.world.after(HANDSHAKE_SECONDS, self.say, answer)
-
-    def _take_request(self, segment):
-        if (segment.key, segment.sequence) in self.answered:
+        # Each SYN copy gets another sequence number; the caller accepts one of them.
+        first_sequence = self.world.make_first_sequence()
+        self.syn_ack_sequences.setdefault(segment.key, set()).add(first_sequence)
+        answer = Segment(
+            segment.key, b"", b"", first_sequence, 1, is_syn=True, is_ack=True
+        )
+        self.world.call_later(HANDSHAKE_SECONDS, self.send, answer)
+
+    def _handle_request(self, segment):
+        if (segment.key, segment.sequence) in self.accepted_requests:
             return
-        self.answered.add((segment.key, segment.sequence))
+        self.accepted_requests.add((segment.key, segment.sequence))
         self.queue.append(segment.key)
         if len(self.queue) == 1:
-            self._work()
+            self._serve_next()
 
-    def _work(self):
-        self.world.after(
+    def _serve_next(self):
+        self.world.call_later(
             self.world.random.expovariate(1 / SERVICE_SECONDS), self._answer
         )
 
     def _answer(self):
-        if not self.is_there:
+        if not self.is_running:
             return
         key = self.queue.pop(0)
-        if key in self.open:
+        if key in self.next_sequences:
             for data in ANSWER:
-                number = self.open[key]
-                self.say(Segment(key, b"", data, number, 1, acknowledges=True))
-                self.open[key] = number + len(data)
+                sequence = self.next_sequences[key]
+                self.send(Segment(key, b"", data, sequence, 1, is_ack=True))
+                self.next_sequences[key] = sequence + len(data)
         if self.queue:
-            self._work()
+            self._serve_next()
 
-    def _finish(self, key):
-        number = self.open.pop(key)
-        self.ended.add(key)
-        self.say(replace(acknowledge(key, number), finishes=True))
+    def _close(self, key):
+        sequence = self.next_sequences.pop(key)
+        self.closed.add(key)
+        self.send(replace(acknowledge(key, sequence), is_fin=True))
 
-    def _answer_ended(self, segment):
-        if segment.finishes:
-            self.say(acknowledge(segment.key, segment.acknowledgement))
+    def _answer_closed(self, segment):
+        if segment.is_fin:
+            self.send(acknowledge(segment.key, segment.acknowledgement))
         elif segment.data:
-            self.say(Segment(segment.key, b"", b"", 0, 0, resets=True))
+            self.send(Segment(segment.key, b"", b"", 0, 0, is_rst=True))
 
 
-def acknowledge(key, number):
+def acknowledge(key, sequence):
     """Return a target's packet without data."""
-    return Segment(key, b"", b"", number, 1, acknowledges=True)
+    return Segment(key, b"", b"", sequence, 1, is_ack=True)
--- a/tests/races/world.py
+++ b/tests/races/world.py
@@ -1,4 +1,4 @@
-"""The clock, the links and the callers, nodes and targets that meet there."""
+"""The simulated clock and links, with the callers, nodes and targets on them."""
 
 import heapq
 import random
@@ -14,18 +14,18 @@
 from tests.races.target import Target
 from tests.races.timing import (
     CALLER_SECONDS,
-    FAR_SECONDS,
+    CROSS_DOMAIN_SECONDS,
     JITTER,
-    NEAR_SECONDS,
-    RESET_SPAN,
+    RESET_WINDOW,
+    SAME_DOMAIN_SECONDS,
 )
 
-FIRST_STEP = 1_000_000
+SEQUENCE_STEP = 1_000_000
 
 
 @dataclass(frozen=True)
-class Break:
-    """Hold the reset of an open flow after ``idle`` seconds without a packet."""
+class BrokenFlow:
+    """Reset of an open flow after ``idle`` seconds without a packet."""
 
     at: float
     key: bytes
@@ -33,11 +33,11 @@
 
 
 class RaceWorld:
-    """Own the clock, the links and what must hold: no open flow is reset.
+    """Simulation that records violations of its rule: no open flow is reset.
 
-    ``loss`` is the share of messages that are lost, ``late_heartbeats`` that of
-    heartbeats that are late. ``broken`` are the resets of open flows, ``traces`` what
-    happened in each flow.
+    ``loss`` is the share of messages that are lost, ``late_heartbeats`` the share of
+    heartbeats that are late. ``broken`` lists the resets of open flows, ``traces`` the
+    events of each flow.
     """
 
     def __init__(
@@ -53,12 +53,12 @@
         self.random = random.Random(seed)
         self.now = 0.0
         self.loss, self.late_heartbeats = loss, late_heartbeats
-        # A factor on the pauses of callers.
-        self.pauses = 1.0
+        # Factor on the pauses of callers.
+        self.pause_factor = 1.0
         self.segments, self.connections = {}, {}
         self.traces, self.broken = {}, []
-        self._queue, self._count, self._number = [], 0, 0
-        self._started = 0
+        self._events, self._event_count, self._sequence = [], 0, 0
+        self._started_targets = 0
         self.domains = domains
         self.balancers = {}
         for _ in range(balancers):
@@ -67,122 +67,132 @@
         for number in range(targets):
             address = f"10.0.2.{number}"
             self.agents[address] = AgentNode(self, address, number % domains)
-            self.start(address)
+            self.start_target(address)
         self.run(2.0)
         self.callers = []
         self.add_callers(callers)
 
-    def after(self, seconds, call, *arguments):
-        """Call something later."""
-        self._count += 1
-        event = (self.now + seconds, self._count, call, arguments)
-        heapq.heappush(self._queue, event)
+    def call_later(self, seconds, call, *arguments):
+        """Schedule a call."""
+        self._event_count += 1
+        event = (self.now + seconds, self._event_count, call, arguments)
+        heapq.heappush(self._events, event)
 
     def run(self, seconds):
-        """Let time go by."""
+        """Advance the time and run the calls that are due."""
         until = self.now + seconds
-        while self._queue and self._queue[0][0] <= until:
-            self.now, _, call, arguments = heapq.heappop(self._queue)
+        while self._events and self._events[0][0] <= until:
+            self.now, _, call, arguments = heapq.heappop(self._events)
             call(*arguments)
         self.now = until
 
-    def draw_number(self):
-        """Return the first number of another flow."""
-        self._number += FIRST_STEP
-        return self._number
+    def make_first_sequence(self):
+        """Return the first sequence number of another flow."""
+        self._sequence += SEQUENCE_STEP
+        return self._sequence
 
-    def start(self, address):
-        """Start a target that knows nothing of a former one there."""
-        self._started += 1
-        self.targets[address] = Target(self, address, f"i-{self._started}")
+    def start_target(self, address):
+        """Start a target without flows; it replaces the previous one at the address."""
+        self._started_targets += 1
+        self.targets[address] = Target(self, address, f"i-{self._started_targets}")
 
     def add_balancer(self):
-        """Let one more balancer take packets; flows whose hash it wins move to it."""
+        """Add a balancer; flows whose hash now selects it move to it."""
         number = len(self.balancers)
         address = f"10.0.1.{number}"
         self.balancers[address] = BalancerNode(self, address, number % self.domains)
 
     def add_callers(self, count):
-        """Let more callers come."""
+        """Add callers."""
         first = len(self.callers)
         self.callers += [Caller(self, first + number) for number in range(count)]
 
     def restart_agent(self, address, seconds):
-        """Stop an agent as planned; it is back after a while, its target lives on."""
+        """Stop an agent as planned and restart it later; its target continues."""
         node = self.agents[address]
         node.stop()
-        self.after(seconds, node.start)
+        self.call_later(seconds, node.start)
 
-    def crash(self, address, seconds):
-        """End a target; another one starts at its address after a while."""
+    def crash_target(self, address, seconds):
+        """Crash a target; start another one at its address later."""
         target = self.targets[address]
-        if target.is_there:
+        if target.is_running:
             target.crash()
-            self.after(seconds, self.start, address)
+            self.call_later(seconds, self.start_target, address)
 
-    def trace(self, key, *what):
-        """Note what happened in a flow."""
-        self.traces.setdefault(key, []).append((round(self.now, 4), *what))
+    def trace(self, key, *event):
+        """Record an event of a flow."""
+        self.traces.setdefault(key, []).append((round(self.now, 4), *event))
 
-    def _delay(self, one, other):
+    def _draw_link_delay(self, sender, receiver):
         nodes = {**self.balancers, **self.agents}
-        near = nodes[one].domain == nodes[other].domain
-        return self.draw_delay(NEAR_SECONDS if near else FAR_SECONDS)
+        is_same_domain = nodes[sender].domain == nodes[receiver].domain
+        return self.draw_delay(
+            SAME_DOMAIN_SECONDS if is_same_domain else CROSS_DOMAIN_SECONDS
+        )
 
     def draw_delay(self, seconds):
         return seconds * self.random.uniform(1, JITTER)
 
-    def send(self, origin, peer, message):
-        """Bring a node's message to another node, or lose it."""
+    def send(self, sender, peer, message):
+        """Send a node's message to another node; it may be lost."""
         node = self.balancers.get(peer) or self.agents.get(peer)
         if node is None or self.random.random() < self.loss:
             return
-        self.after(self._delay(origin, peer), node.take, origin, message)
+        self.call_later(
+            self._draw_link_delay(sender, peer), node.handle_message, sender, message
+        )
 
     def send_packet(self, segment):
-        """Let a caller's packet go to the balancer that its flow hashes to."""
+        """Send a caller's packet to the balancer that its flow hashes to."""
         _, connection = self.connections[segment.key]
-        connection.used_at = self.now
-        raw = str(len(self.segments)).encode()
-        segment = self.segments[raw] = replace(segment, raw=raw)
+        connection.last_sent_at = self.now
+        packet = str(len(self.segments)).encode()
+        segment = self.segments[packet] = replace(segment, packet=packet)
         address = max(
-            self.balancers, key=lambda found: crc32(segment.key + found.encode())
+            self.balancers, key=lambda address: crc32(segment.key + address.encode())
         )
         if self.random.random() >= self.loss:
             delay = self.draw_delay(CALLER_SECONDS)
-            self.after(delay, self.balancers[address].take_packet, segment)
+            self.call_later(delay, self.balancers[address].handle_packet, segment)
 
-    def hand(self, address, segment, origin):
-        """Hand a packet to what is at a target's address."""
-        self.targets[address].take(segment, origin)
+    def send_to_target(self, address, segment, balancer):
+        """Send a packet to the target at an address."""
+        self.targets[address].handle_packet(segment, balancer)
 
-    def answer(self, segment, address):
-        """Bring a caller a target's packet."""
+    def send_to_caller(self, segment, address):
+        """Send a target's packet to its caller."""
         caller, connection = self.connections[segment.key]
-        if segment.resets and self.find_holder(connection) not in (None, address):
-            self.note_broken(connection)
-        caller.take(connection, segment)
+        if segment.is_rst and self._find_holder(connection) not in (None, address):
+            self._record_broken(connection)
+        caller.handle_packet(connection, segment)
 
     def reset(self, segment):
-        """Bring a caller a reset of a balancer; on an open flow its number must fit."""
+        """Send a balancer's reset to a caller, which checks its sequence number."""
         caller, connection = self.connections[segment.key]
-        number = segment.acknowledgement if segment.acknowledges else 0
-        distance = abs(number - connection.acknowledgement)
-        if connection.first is not None and distance > RESET_SPAN:
+        sequence = segment.acknowledgement if segment.is_ack else 0
+        distance = abs(sequence - connection.acknowledgement)
+        if connection.target_first_sequence is not None and distance > RESET_WINDOW:
             return
-        if self.find_holder(connection):
-            self.note_broken(connection)
-        caller.take(connection, Segment(segment.key, b"", b"", 0, 0, resets=True))
+        if self._find_holder(connection):
+            self._record_broken(connection)
+        caller.handle_packet(
+            connection, Segment(segment.key, b"", b"", 0, 0, is_rst=True)
+        )
 
-    def find_holder(self, connection):
+    def _find_holder(self, connection):
         """Return the address of the target that holds an open flow, or None."""
         for address, target in self.targets.items():
-            known = target.open.get(connection.key)
-            if target.is_there and known is not None and connection.first is not None:
+            next_sequence = target.next_sequences.get(connection.key)
+            if (
+                target.is_running
+                and next_sequence is not None
+                and connection.target_first_sequence is not None
+            ):
                 return address
         return None
 
-    def note_broken(self, connection):
-        idle = max(connection.paused, self.now - connection.used_at)
-        self.broken.append(Break(self.now, connection.key, idle))
+    def _record_broken(self, connection):
+        idle = max(connection.pause_seconds, self.now - connection.last_sent_at)
+        self.broken.append(BrokenFlow(self.now, connection.key, idle))
         self.trace(connection.key, "BROKEN")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,7 +5,7 @@
 from ibisshunt.exceptions import ServiceNotFoundError
 
 
-def test_services_find_each_other_by_name_through_the_parent():
+def test_services_are_found_by_name_through_the_parent():
     kernel = Kernel()
     kernel.register("metrics", "shared")
     child = kernel.make_child("agent.a1")
@@ -16,7 +16,7 @@
         kernel.find("flows")
 
 
-def test_the_last_service_started_is_unloaded_first_and_an_error_stops_no_other():
+def test_services_are_unloaded_in_reverse_order_despite_an_error():
     kernel = Kernel()
     order = []
 
@@ -31,9 +31,9 @@
     assert order == ["last", "broken", "first"]
 
 
-def test_a_task_that_dies_stops_the_process():
-    # The caller sees a node that is gone rather than one that answers nothing:
-    # the task raises, the kernel logs it and asks for a stop, the lease runs out.
+def test_a_task_that_fails_stops_the_process():
+    # Guards against a node that keeps its lease but no longer answers: the kernel has
+    # to stop the process, so that the lease expires.
     kernel = Kernel()
     child = kernel.make_child("balancer.b1")
 
@@ -52,7 +52,7 @@
     assert not kernel.is_stopping()
 
 
-def test_readiness_names_what_is_missing():
+def test_unready_services_are_listed():
     kernel = Kernel()
     ready = []
     kernel.register("configuration", object(), ready=lambda: bool(ready))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,7 +4,7 @@
 from ibisshunt.model.address import Address
 from ibisshunt.settings import BALANCER, read_settings
 
-GOOD = """
+VALID = """
 {
   // an entry host
   name: "b1", failure_domain: "moin-a",
@@ -16,7 +16,7 @@
 
 def test_settings_with_comments_are_read(tmp_path):
     path = tmp_path / "balancer.json"
-    path.write_text(GOOD)
+    path.write_text(VALID)
     settings = read_settings(path, BALANCER)
     assert settings.control == (Address("127.0.0.1", 7001),)
 
@@ -33,9 +33,9 @@
         ("{", "", "-"),
     ],
 )
-def test_a_wrong_setting_names_file_and_key(tmp_path, old, new, key):
+def test_the_error_for_an_invalid_setting_names_file_and_key(tmp_path, old, new, key):
     path = tmp_path / "balancer.json"
-    path.write_text(GOOD.replace(old, new, 1))
+    path.write_text(VALID.replace(old, new, 1))
     with pytest.raises(SettingsError) as caught:
         read_settings(path, BALANCER)
     assert caught.value.fault.peer == str(path)
