--- a/ibisshunt/components/admin/server.py
+++ b/ibisshunt/components/admin/server.py
@@ -57,7 +57,7 @@
 
 
 def setup(kernel: Kernel, address: Address) -> Address:
-    """Serve the admin pages; return the address that was bound."""
+    """Serve the admin pages; return the bound address."""
     server = WSGIServer(address.as_pair(), make_application(kernel), log=None)
     server.start()
     kernel.register("admin", server, unload=lambda: server.stop(timeout=1))
--- a/ibisshunt/components/agent/packets.py
+++ b/ibisshunt/components/agent/packets.py
@@ -37,7 +37,7 @@
 
 
 class PacketTask:
-    """Own the packet socket and the flow table of an agent."""
+    """Run the packet socket and the flow table of an agent."""
 
     def __init__(self, settings: AgentSettings, kernel: Kernel) -> None:
         self._settings = settings
@@ -64,7 +64,7 @@
         return self._socket.address
 
     def count(self) -> int:
-        """Count the flows that the target owns."""
+        """Return the number of flows that the target owns."""
         return self._owner.count()
 
     def receive(self) -> None:
@@ -185,7 +185,7 @@
         """
         self._wake.set()
 
-    def set_configuration(self, configuration: Configuration) -> None:
+    def update_configuration(self, configuration: Configuration) -> None:
         """Store the slice of the agent's service from a new configuration."""
         self.wake()
         target = self._settings.target
@@ -233,9 +233,9 @@
         self._owner.send_load()
         self._owner.replicate_flows()
         self._send_notices()
-        newer_revision = self._owner.pop_newer_revision()
-        if newer_revision:
-            self._configuration.record_peer_revision(newer_revision)
+        peer_revision = self._owner.pop_newer_revision()
+        if peer_revision:
+            self._configuration.record_peer_revision(peer_revision)
         self._refusals.flush(self._metrics, now)
         self._metrics.set("ibisshunt_flows", self.count())
         for name, total in self._list_totals().items():
@@ -250,7 +250,7 @@
             "reset": self._resets,
         }
 
-    def describe(self) -> dict[str, Any]:
+    def dump(self) -> dict[str, Any]:
         """Return the state for the dump."""
         return {
             **self._owner.describe(),
@@ -270,7 +270,7 @@
 def setup(kernel: Kernel, settings: AgentSettings) -> Callable[[], None]:
     """Start the packet path of an agent; return the function that stops it."""
     task = PacketTask(settings, kernel)
-    kernel.find("configuration").subscribe(task.set_configuration)
+    kernel.find("configuration").subscribe(task.update_configuration)
     greenlets = [
         kernel.spawn("packets", task.receive),
         kernel.spawn("packets_housekeeping", task.run_housekeeping),
@@ -280,6 +280,6 @@
         gevent.killall(greenlets)
         task.close()
 
-    kernel.register("packets", task, unload, task.describe)
+    kernel.register("packets", task, unload, task.dump)
     kernel.register("flows", task)
     return unload
--- a/ibisshunt/components/agent/streams.py
+++ b/ibisshunt/components/agent/streams.py
@@ -25,7 +25,7 @@
 
 
 class AgentStreamServer:
-    """Own the stream listener of one agent."""
+    """Accept the streams that balancers relay to one agent."""
 
     def __init__(self, kernel: Kernel, settings: AgentSettings) -> None:
         self._kernel = kernel
@@ -119,7 +119,7 @@
         return True
 
     def stop(self) -> None:
-        """Accept no new stream and wait for open ones, up to the grace period."""
+        """Stop accepting streams; wait for open ones, up to the grace period."""
         self._server.close()
         with gevent.Timeout(STOP_GRACE_SECONDS, False):
             while self._open_streams:
@@ -148,8 +148,8 @@
 
 def setup(kernel: Kernel, settings: AgentSettings) -> AgentStreamServer:
     """Start the stream server of an agent; register it as ``streams``."""
-    intake = AgentStreamServer(kernel, settings)
-    kernel.find("configuration").subscribe(intake.update_configuration)
-    kernel.find("metrics").collect(intake.list_samples)
-    kernel.register("streams", intake, unload=intake.stop, dump=intake.dump)
-    return intake
+    server = AgentStreamServer(kernel, settings)
+    kernel.find("configuration").subscribe(server.update_configuration)
+    kernel.find("metrics").collect(server.list_samples)
+    kernel.register("streams", server, unload=server.stop, dump=server.dump)
+    return server
--- a/ibisshunt/components/balancer/packets.py
+++ b/ibisshunt/components/balancer/packets.py
@@ -21,7 +21,7 @@
 
 
 class PacketTask:
-    """Own the packet socket and the router of a balancer."""
+    """Run the packet socket and the router of a balancer."""
 
     def __init__(self, settings: BalancerSettings, kernel: Kernel) -> None:
         self._configuration: Any = kernel.find("configuration")
@@ -31,7 +31,7 @@
         self._socket = DatagramSocket(settings.packets)
         self._send = self._socket.send_to
         self._reply_address = settings.replies.as_pair() if settings.replies else None
-        self._wanted_revision = 0
+        self._newest_peer_revision = 0
         self._now = read_wall_clock()
         self._forwarded = 0
         self._reported_forwarded = 0
@@ -79,9 +79,11 @@
         if datagram is None or datagram[0].kind != DatagramKind.REVISION:
             self._refusals.count("malformed")
             return
-        self._wanted_revision = max(self._wanted_revision, datagram[0].revision)
+        self._newest_peer_revision = max(
+            self._newest_peer_revision, datagram[0].revision
+        )
 
-    def set_configuration(self, configuration: Configuration) -> None:
+    def update_configuration(self, configuration: Configuration) -> None:
         """Apply a configuration; it is active when this returns."""
         self._now = read_wall_clock()
         self._router.update(configuration, self._now)
@@ -99,11 +101,11 @@
             self._request_newer_revision()
 
     def _request_newer_revision(self) -> None:
-        wanted_revision, self._wanted_revision = self._wanted_revision, 0
-        if wanted_revision > self._configuration.current.revision:
-            self._configuration.record_peer_revision(wanted_revision)
+        peer_revision, self._newest_peer_revision = self._newest_peer_revision, 0
+        if peer_revision > self._configuration.current.revision:
+            self._configuration.record_peer_revision(peer_revision)
 
-    def describe(self) -> dict[str, Any]:
+    def dump(self) -> dict[str, Any]:
         """Return the state for the dump."""
         return {
             **self._router.describe(),
@@ -122,7 +124,7 @@
 def setup(kernel: Kernel, settings: BalancerSettings) -> Callable[[], None]:
     """Start the packet path of a balancer; return the function that stops it."""
     task = PacketTask(settings, kernel)
-    kernel.find("configuration").subscribe(task.set_configuration)
+    kernel.find("configuration").subscribe(task.update_configuration)
     greenlets = [
         kernel.spawn("packets", task.receive),
         kernel.spawn("packets_housekeeping", task.run_housekeeping),
@@ -132,5 +134,5 @@
         gevent.killall(greenlets)
         task.close()
 
-    kernel.register("packets", task, unload, task.describe)
+    kernel.register("packets", task, unload, task.dump)
     return unload
--- a/ibisshunt/components/balancer/streams.py
+++ b/ibisshunt/components/balancer/streams.py
@@ -34,7 +34,7 @@
 
 
 class StreamRelay:
-    """Own the listeners of one balancer, one for each TCP service."""
+    """Manage the listeners of one balancer, one for each TCP service."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -55,15 +55,15 @@
         self._configuration = configuration
         for number in self._tables.keys() - configuration.slices.keys():
             del self._tables[number]
-        wanted_listeners = {
+        required_listeners = {
             Address(slice_.service.address, slice_.service.port): slice_.number
             for slice_ in configuration.slices.values()
             if slice_.service.protocol == Protocol.TCP
         }
         for address, (number, _) in list(self._listeners.items()):
-            if wanted_listeners.get(address) != number:
+            if required_listeners.get(address) != number:
                 self._close(address)
-        for address, number in wanted_listeners.items():
+        for address, number in required_listeners.items():
             if address not in self._listeners:
                 self._listen(address, number)
 
@@ -175,7 +175,7 @@
         return agent
 
     def stop(self) -> None:
-        """Accept no new stream and wait for open ones, up to the grace period."""
+        """Stop accepting streams; wait for open ones, up to the grace period."""
         self._stopping = True
         for address in list(self._listeners):
             self._close(address)
@@ -197,7 +197,10 @@
         return {
             "listeners": sorted(str(address) for address in self._listeners),
             "open": self._open_streams,
-            "outcomes": {f"{s} {o}": n for (s, o), n in self._outcome_counts.items()},
+            "outcomes": {
+                f"{service} {outcome}": count
+                for (service, outcome), count in self._outcome_counts.items()
+            },
         }
 
 
--- a/ibisshunt/components/consensus/__init__.py
+++ b/ibisshunt/components/consensus/__init__.py
@@ -4,7 +4,7 @@
 
     machine = StateMachine(apply=apply, take_snapshot=take, restore=restore)
     log = setup(kernel, settings, machine)          # reads the data folder
-    server = Server(settings.rpc, {**own, **make_handlers(log)})
+    server = Server(settings.rpc, {**handlers, **make_handlers(log)})
     server.start()
     log.start()                                     # after the server has started
     result = log.propose(command, timeout=5.0)      # any host; Result[bytes, Fault]
--- a/ibisshunt/components/consensus/diagnostics.py
+++ b/ibisshunt/components/consensus/diagnostics.py
@@ -18,7 +18,7 @@
         "leader": state.leader,
         "has_fresh_quorum": has_fresh_quorum(state, now),
         "commit": state.commit_index,
-        "applied": driver.applied,
+        "applied": driver.applied_index,
         "first_index": state.log.base.index + 1,
         "last_index": state.log.last_index,
         "snapshot_index": state.snapshot.index if state.snapshot else 0,
@@ -27,8 +27,8 @@
             _dump_member(log, member.host, now) for member in _list_members(log)
         ],
         "waiting": log.count_pending_requests(),
-        "syncs": driver.syncs,
-        "snapshots": driver.snapshots,
+        "syncs": driver.sync_count,
+        "snapshots": driver.snapshot_count,
         "sent_bytes": log.links.count_sent_bytes(),
         "lost_envelopes": log.links.count_lost_envelopes(),
     }
@@ -41,13 +41,13 @@
         "ibisshunt_consensus_term": state.term,
         "ibisshunt_consensus_is_leader": int(log.is_leading()),
         "ibisshunt_consensus_commit_index": state.commit_index,
-        "ibisshunt_consensus_applied_index": driver.applied,
+        "ibisshunt_consensus_applied_index": driver.applied_index,
         "ibisshunt_consensus_members": len(_list_members(log)),
         "ibisshunt_consensus_waiting_requests": log.count_pending_requests(),
     }
     counters = {
-        "ibisshunt_consensus_syncs_total": driver.syncs,
-        "ibisshunt_consensus_snapshots_total": driver.snapshots,
+        "ibisshunt_consensus_syncs_total": driver.sync_count,
+        "ibisshunt_consensus_snapshots_total": driver.snapshot_count,
         "ibisshunt_consensus_sent_bytes_total": log.links.count_sent_bytes(),
         "ibisshunt_consensus_lost_envelopes_total": log.links.count_lost_envelopes(),
     }
--- a/ibisshunt/components/consensus/disk_space.py
+++ b/ibisshunt/components/consensus/disk_space.py
@@ -8,7 +8,7 @@
 
 
 class DiskSpaceMonitor:
-    """Hold whether less free space than the reserve, in bytes, is left.
+    """Track whether the free disk space is below the reserve, in bytes.
 
     The reserve leaves space for entries replicated by other leaders and for a clean
     stop.
--- a/ibisshunt/components/consensus/driver.py
+++ b/ibisshunt/components/consensus/driver.py
@@ -35,13 +35,13 @@
 SNAPSHOT_INTERVAL_ENTRIES = 1_000
 SNAPSHOT_WAL_BYTES = 16 * 1024 * 1024
 MAX_KEPT_TIMINGS = 8_192
-# Id of a request that no caller waits for.
+# Request id for which no caller waits.
 NO_REQUEST_ID = 0
 
 
 @dataclass(frozen=True, slots=True)
 class StateMachine:
-    """Hold the callbacks of a deterministic state machine.
+    """Callbacks of a deterministic state machine.
 
     ``apply`` must return the same reply on every host and must not raise.
     """
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalTiming:
-    """Break down the latency of one committed proposal, in seconds."""
+    """Latency of one committed proposal by stage, in seconds."""
 
     sync: float
     quorum: float
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class PendingProposal:
-    """Hold a proposal made on this host whose entry is not committed yet."""
+    """Proposal made on this host whose entry is not committed yet."""
 
     request_id: int
     term: int
@@ -74,7 +74,7 @@
 
 
 class Driver:
-    """Own the consensus state of one host and its log store.
+    """Drive the consensus state of one host and its log store.
 
     ``random_fraction`` returns a float in [0, 1), ``send`` queues an envelope without
     blocking, ``answer`` completes the request with the given id, ``clock`` returns
@@ -105,9 +105,9 @@
             recovered.entries,
             recovered.snapshot,
         )
-        self.applied = 0
-        self.syncs = 0
-        self.snapshots = 0
+        self.applied_index = 0
+        self.sync_count = 0
+        self.snapshot_count = 0
         self.timings: deque[ProposalTiming] = deque(maxlen=MAX_KEPT_TIMINGS)
         self._store = store
         self._machine = machine
@@ -181,7 +181,7 @@
         log = self.state.log
         synced = Synced(log.last_index, log.last_term)
         self._store.sync()
-        self.syncs += 1
+        self.sync_count += 1
         synced_at = self._clock()
         for pending in self._pending_proposals.values():
             pending.synced_at = pending.synced_at or synced_at
@@ -189,25 +189,25 @@
 
     def _apply(self) -> None:
         committed_at = self._clock()
-        while self.applied < self.state.commit_index:
-            entry = self.state.log.get(self.applied + 1)
+        while self.applied_index < self.state.commit_index:
+            entry = self.state.log.get(self.applied_index + 1)
             reply = b""
             if entry.kind is EntryKind.COMMAND:
                 reply = self._machine.apply(entry.index, entry.command)
             elif entry.membership is not None:
                 _log_membership(entry)
-            self.applied = entry.index
+            self.applied_index = entry.index
             self._complete_proposal(entry, reply, committed_at)
         ready = [
             request_id
             for index, request_id in self._pending_reads
-            if index <= self.applied
+            if index <= self.applied_index
         ]
         self._pending_reads = [
-            pair for pair in self._pending_reads if pair[0] > self.applied
+            pair for pair in self._pending_reads if pair[0] > self.applied_index
         ]
         for request_id in ready:
-            self._answer(request_id, Success(self.applied))
+            self._answer(request_id, Success(self.applied_index))
 
     def _complete_proposal(
         self, entry: Entry, reply: bytes, committed_at: float
@@ -232,7 +232,7 @@
 
     def _restore(self, snapshot: Snapshot) -> None:
         self._machine.restore(snapshot.data)
-        self.applied = snapshot.index
+        self.applied_index = snapshot.index
         for index in [
             pending_index
             for pending_index in self._pending_proposals
@@ -245,19 +245,19 @@
     def _compact_if_due(self, now: float) -> None:
         state = self.state
         snapshot_index = state.snapshot.index if state.snapshot else 0
-        entries = self.applied - snapshot_index
+        entries = self.applied_index - snapshot_index
         is_wal_large = self._store.wal_bytes >= SNAPSHOT_WAL_BYTES and entries > 0
         if entries < self._snapshot_entries and not is_wal_large:
             return
         snapshot = Snapshot(
-            self.applied,
-            state.log.term_at(self.applied) or 0,
-            state.log.membership_at(self.applied),
+            self.applied_index,
+            state.log.term_at(self.applied_index) or 0,
+            state.log.membership_at(self.applied_index),
             self._machine.take_snapshot(),
         )
         handle(state, Compact(snapshot), now)
         self._save(snapshot)
-        self.snapshots += 1
+        self.snapshot_count += 1
         log_event("snapshot_saved", index=snapshot.index, bytes=len(snapshot.data))
 
     def _save(self, snapshot: Snapshot) -> None:
--- a/ibisshunt/components/consensus/forwarding.py
+++ b/ibisshunt/components/consensus/forwarding.py
@@ -14,7 +14,7 @@
 
 
 class ProposalForwarder:
-    """Own one connection for proposals to each host that has been leader."""
+    """Forward proposals over one connection to each host that has been leader."""
 
     def __init__(self, make_channel: ChannelFactory) -> None:
         self._make_channel = make_channel
--- a/ibisshunt/components/consensus/joining.py
+++ b/ibisshunt/components/consensus/joining.py
@@ -21,7 +21,7 @@
 
 
 class ClusterJoiner:
-    """Own the connections over which a new host sends its hello requests.
+    """Join this host to a cluster by hello requests to its peers.
 
     ``get_cluster_id`` returns "" while the host has no cluster; ``submit`` queues an
     event for the event loop.
@@ -123,7 +123,7 @@
         return replies
 
     def _log_wait(self, replies: Mapping[str, HelloReply]) -> None:
-        """Log what this host waits for whenever that has changed."""
+        """Log which hosts this one waits for, if that has changed."""
         silent = ",".join(sorted(set(self._peers) - set(replies)))
         members = sorted(name for name, reply in replies.items() if reply.cluster)
         differing = sorted(
--- a/ibisshunt/components/consensus/links.py
+++ b/ibisshunt/components/consensus/links.py
@@ -21,7 +21,7 @@
 
 
 class Link:
-    """Own the connection to one host.
+    """Send envelopes over the connection to one host.
 
     Calls run one at a time; envelopes queued meanwhile are batched into the next call.
     A failed call drops its envelopes: the consensus protocol tolerates message loss
@@ -84,7 +84,7 @@
 
 
 class Links:
-    """Hold the links by address; create each on first use."""
+    """Manage one link per address, each created on first use."""
 
     def __init__(
         self,
--- a/ibisshunt/components/consensus/pending_requests.py
+++ b/ibisshunt/components/consensus/pending_requests.py
@@ -1,4 +1,4 @@
-"""Let callers wait for the result of a proposal or read."""
+"""Match the results of proposals and reads with the callers that wait for them."""
 
 import secrets
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class PendingRequests:
-    """Hold one waiting caller per request id.
+    """Map each request id to the caller that waits for its result.
 
     Ids start at a random number: a late reply to a read of the previous process must
     not match a read of this one, which could then return stale state.
@@ -24,7 +24,7 @@
         self._results: dict[int, AsyncResult] = {}
 
     def __len__(self) -> int:
-        """Count the callers that wait."""
+        """Return the number of waiting callers."""
         return len(self._results)
 
     def __contains__(self, request_id: int) -> bool:
@@ -40,9 +40,9 @@
 
     def answer(self, request_id: int, result: Result[Any, Fault]) -> None:
         """Pass the result to the caller if it still waits."""
-        waiting = self._results.get(request_id)
-        if waiting is not None:
-            waiting.set(result)
+        async_result = self._results.get(request_id)
+        if async_result is not None:
+            async_result.set(result)
 
     def wait(self, request_id: int, timeout: float) -> Result[Any, Fault] | None:
         """Return the result, or None after ``timeout`` seconds."""
--- a/ibisshunt/components/consensus/replicated_log.py
+++ b/ibisshunt/components/consensus/replicated_log.py
@@ -55,13 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicatedLogOptions:
-    """Hold options that tests and embedders may change.
+    """Options of the replicated log, for tests and embedders.
 
     ``may_bootstrap``: a host with an empty disk may create a new cluster.
     ``admit_unlisted_hosts``: hosts that are not in the settings may join.
     ``wait_for_disk_space``: a write to a full disk blocks until there is space instead
     of ending the process. ``reserved_bytes``: with less free disk space the leader
-    refuses proposals and hands leadership over.
+    refuses proposals and transfers leadership.
     """
 
     consensus: ConsensusSettings = ConsensusSettings()
@@ -164,7 +164,7 @@
             request_id = self._pending_requests.allocate()
             if not self._mailbox.send(Read(request_id)):
                 self._pending_requests.answer(
-                    request_id, _make_not_accepted("too many events wait")
+                    request_id, _make_not_accepted("event queue is full")
                 )
             result = self._pending_requests.wait(
                 request_id, min(remaining, READ_ATTEMPT_TIMEOUT_SECONDS)
@@ -195,7 +195,7 @@
         return self.find_address(leader) if leader else None
 
     def count_pending_requests(self) -> int:
-        """Count the proposals and reads that wait for an answer."""
+        """Return the number of proposals and reads without a result."""
         return len(self._pending_requests)
 
     def is_leading(self) -> bool:
@@ -205,7 +205,7 @@
     # Task life cycle.
 
     def start(self) -> None:
-        """Start to take part in the cluster; the RPC server must already run."""
+        """Start the event loop and join the cluster; the RPC server must run."""
         self._event_loop = self._spawn("replicated log", self._run)
         if not self._is_member() or self.options.admit_unlisted_hosts:
             self._tasks.append(
@@ -335,7 +335,7 @@
     ) -> Result[Any, Fault]:
         if not self._mailbox.send(event):
             self._pending_requests.answer(
-                request_id, _make_not_accepted("too many events wait")
+                request_id, _make_not_accepted("event queue is full")
             )
         result = self._pending_requests.wait(request_id, timeout)
         if result is not None:
--- a/ibisshunt/components/control/__init__.py
+++ b/ibisshunt/components/control/__init__.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Control:
-    """Hold the parts of one control host; ``address`` is its RPC address."""
+    """Parts of one control host; ``address`` is its RPC address."""
 
     address: Address
     host: ControlHost
@@ -51,7 +51,7 @@
                 }
                 for target in store.list_targets()
             ],
-            "streams": self.watches.streams,
+            "streams": self.watches.stream_count,
             "nodes": {
                 node: report.revision for node, report in self.reports.reports.items()
             },
--- a/ibisshunt/components/control/host.py
+++ b/ibisshunt/components/control/host.py
@@ -1,4 +1,4 @@
-"""Hold what the request handlers of one control host share."""
+"""Share settings, state and log among the request handlers of a control host."""
 
 import hashlib
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlHost:
-    """Hold the settings, the state and the replicated log of one control host."""
+    """Settings, state and replicated log of one control host."""
 
     settings: ControlSettings
     state: ControlState
--- a/ibisshunt/components/control/leases.py
+++ b/ibisshunt/components/control/leases.py
@@ -24,7 +24,7 @@
 
 
 class LeaseHandler:
-    """Own the leases, which exist only in the memory of the leader.
+    """Manage the leases, which exist only in the memory of the leader.
 
     Renewals are not replicated: thousands of targets renew every two seconds.
     """
@@ -126,7 +126,7 @@
         hold_down_seconds: float,
         now: float,
     ) -> AnnounceReply:
-        reason = f"changed its state too often, kept out for {hold_down_seconds:.1f} s"
+        reason = f"state changed too often, held down for {hold_down_seconds:.1f} s"
         warn_event("target_held_back", target=request.announcement.name, reason=reason)
         if not known_incarnation:
             return AnnounceReply(0, 0.0, reason)
--- a/ibisshunt/components/control/records.py
+++ b/ibisshunt/components/control/records.py
@@ -82,8 +82,8 @@
             changes=tuple(result.unwrap() for result in parsed),
         )
         store = self._host.state.store
-        if answer := store.outcome_cache.find(command):
-            return answer
+        if cached_outcome := store.outcome_cache.find(command):
+            return cached_outcome
         if not self._host.is_leader():
             # A lagging follower might reject a token that was granted just before.
             self._host.wait_for_read_barrier(context)
--- a/ibisshunt/components/control/reports.py
+++ b/ibisshunt/components/control/reports.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Hold a node's last report and its time by the monotonic clock, in seconds."""
+    """Last report of a node; ``received_at`` is in monotonic seconds."""
 
     role: str
     revision: int
@@ -40,7 +40,7 @@
 
 
 class ReportHandler:
-    """Own the reports of the nodes that watch this host.
+    """Store the reports of the nodes that watch this host, and answer status calls.
 
     Each host keeps the reports of its own nodes and queries the other hosts when an
     operator asks for the status, so that the load of reports is spread.
@@ -58,7 +58,7 @@
         return ReportReply(self._host.state.store.revision)
 
     def get_status(self, request: StatusRequest, context: Any) -> StatusReply:
-        """Return the status of the whole cluster, or of this host alone."""
+        """Return the status of the cluster, or of this host only."""
         local_status = self._make_local_status()
         if request.local or not self._host.settings.peers:
             return local_status
@@ -125,15 +125,15 @@
     local_status: StatusReply, leader: str, replies: dict[str, StatusReply | None]
 ) -> StatusReply:
     """Return one status with the leader's targets and the latest report per node."""
-    answers = [reply for reply in replies.values() if reply is not None]
+    peer_statuses = [reply for reply in replies.values() if reply is not None]
     leader_status = replies.get(leader) or local_status
-    newest = max([local_status, *answers], key=lambda reply: reply.revision)
+    newest = max([local_status, *peer_statuses], key=lambda reply: reply.revision)
     return replace(
         newest,
         leader=leader,
         targets=leader_status.targets,
         nodes=_select_latest(
-            node for reply in (local_status, *answers) for node in reply.nodes
+            node for reply in (local_status, *peer_statuses) for node in reply.nodes
         ),
         unreachable=tuple(name for name, reply in replies.items() if reply is None),
     )
--- a/ibisshunt/components/control/state.py
+++ b/ibisshunt/components/control/state.py
@@ -16,7 +16,7 @@
 
 
 class ControlState:
-    """Own the record store and the configuration updates of one host."""
+    """Manage the record store and the configuration updates of one host."""
 
     def __init__(self) -> None:
         self.store = RecordStore()
--- a/ibisshunt/components/control/watches.py
+++ b/ibisshunt/components/control/watches.py
@@ -17,10 +17,10 @@
 
 
 class WatchHandler:
-    """Own the watch streams and the time until which this host may send heartbeats."""
+    """Serve watch streams; track until when this host may send heartbeats."""
 
     def __init__(self, host: ControlHost) -> None:
-        self.streams = 0
+        self.stream_count = 0
         self._host = host
         self._stopping = False
         self._next_quorum_check = 0.0
@@ -32,14 +32,14 @@
     def watch(self, request: WatchRequest, context: Any) -> Iterator[msgspec.Raw]:
         """Yield a snapshot or delta, then each change, and heartbeats in between."""
         # A partitioned host holds an outdated configuration without knowing it, and a
-        # node that has just started cannot tell: only serve it with a fresh quorum.
+        # node that has just started cannot detect it: serve only with a fresh quorum.
         self._host.wait_for_read_barrier(context)
         self._extend_freshness()
-        self.streams += 1
+        self.stream_count += 1
         try:
             yield from self._send_updates(request, context)
         finally:
-            self.streams -= 1
+            self.stream_count -= 1
 
     def stop(self) -> None:
         """End all streams."""
--- a/ibisshunt/components/directory/__init__.py
+++ b/ibisshunt/components/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Own the datagrams between the nodes of a fleet."""
+"""Exchange datagrams between the nodes of a fleet."""
--- a/ibisshunt/components/directory/archive.py
+++ b/ibisshunt/components/directory/archive.py
@@ -22,7 +22,7 @@
 
 
 class ArchiveTask:
-    """Own the flow archive of one control host and its files, one for each generation.
+    """Manage the flow archive of one control host: one file for each generation.
 
     No guarantee depends on the files: damaged ones are skipped, and a write that fails
     is dropped.
@@ -97,7 +97,7 @@
             try:
                 self._files.remove(name)
             except StorageError as error:
-                # The disk may be faulty; the next generation tries again.
+                # The disk may be faulty; the next rotation retries.
                 warn_event("flows_not_removed", file=name, error=error)
 
     def _handle_entries(self, peer: str, message: CheckpointEntries) -> None:
--- a/ibisshunt/components/directory/control.py
+++ b/ibisshunt/components/directory/control.py
@@ -21,15 +21,16 @@
 NOTIFY_SECONDS = 0.25
 # Interval at which a host that has started checks whether its log is current.
 CONFIRM_RETRY_SECONDS = 0.2
-# One write covers all nodes that a fleet's start brings, or a series of configurations.
+# One write covers all nodes that register at a fleet's start, or a series of
+# configurations.
 SAVE_SECONDS = 0.5
 
 
 class ControlDirectory:
-    """Own the registry of one control host, and the configuration that it offers.
+    """Manage the registry of one control host and the configuration that it offers.
 
-    Until a leader is elected nobody knows which configuration is active in the log, and
-    after a power loss of the whole fleet no node holds one: targets stood idle for
+    Until a leader is elected it is unknown which configuration is active in the log,
+    and after a power loss of the whole fleet no node holds one: targets stood idle for
     1.4 s while callers were rejected. So the host offers the configuration that was
     active here in its previous run, until the log has a newer one. It may be outdated
     for as long as the election takes; a node that has just started applies it, and no
@@ -47,7 +48,7 @@
         list_control_hosts: Callable[[], tuple[str, ...]],
         files: DirectoryFiles,
     ) -> None:
-        # Replaced once the log is loaded, which takes longer than this.
+        # Replaced once the log is loaded, which takes longer than this constructor.
         self.list_control_hosts = list_control_hosts
         saved = files.nodes.load()
         self.registry = Registry(read_monotonic_clock(), saved)
@@ -83,8 +84,8 @@
     def run_drained_domains(self) -> None:
         """Send and save drained domains whenever they change, until killed.
 
-        This is done at once: an operator takes an acknowledged change for an active
-        one, and a host that loses power sends what it saved until a leader is elected.
+        This is done at once: operators assume that an acknowledged change is active,
+        and a host that loses power sends what it saved until a leader is elected.
         No other task saves them: of two concurrent writes the older one could win.
         """
         while True:
@@ -107,7 +108,7 @@
         log_event("drained_domains_confirmed", revision=drained.revision)
 
     def save(self) -> None:
-        """Save what has changed; a write that fails is tried again."""
+        """Save what has changed; the next call retries a failed write."""
         nodes = self.registry.list_nodes_to_save()
         if nodes != self._saved_nodes and self._files.nodes.save(nodes):
             self._saved_nodes = nodes
@@ -130,7 +131,7 @@
             self._internal_socket.send(address, UpdateNotice(version, drained))
 
     def get_drained_domains(self) -> DrainedDomains | None:
-        """Return the drained domains, or None while this host cannot be sure of them.
+        """Return the drained domains, or None while they are unknown on this host.
 
         The log is replayed from its beginning, so it may hold older ones than this host
         sent in its previous run.
@@ -144,9 +145,9 @@
         return current
 
     def notify_saved_nodes(self) -> None:
-        """Notify the nodes of the previous run of what is offered.
+        """Notify the nodes of the previous run of the version offered.
 
-        They send Hello each 0.1 s while they know no control host; after a power loss
+        They send Hello every 0.1 s while they know no control host; after a power loss
         of the whole fleet nothing is served until they have a configuration.
         """
         version, drained = self._get_version(), self.get_drained_domains()
--- a/ibisshunt/components/directory/internal_socket.py
+++ b/ibisshunt/components/directory/internal_socket.py
@@ -63,7 +63,7 @@
 
 
 class InternalSocket:
-    """Own the socket at which other nodes reach this one.
+    """Exchange messages with other nodes over one socket.
 
     All nodes use the same port, so that an address identifies a node.
     """
@@ -74,8 +74,8 @@
         self._handlers: dict[type, Handler] = {}
         self._encode = msgspec.msgpack.Encoder().encode
         self._decode = msgspec.msgpack.Decoder(Message).decode
-        self.unreadable = 0
-        self.unsent = 0
+        self.unreadable_datagrams = 0
+        self.unsent_datagrams = 0
         self._sent = MessageCounts("sent")
         self._received = MessageCounts("received")
 
@@ -100,9 +100,14 @@
                 self._record_unsent(address, error)
 
     def _record_unsent(self, address: str, error: OSError) -> None:
-        self.unsent += 1
-        if self.unsent & (self.unsent - 1) == 0:
-            warn_event("datagram_unsent", peer=address, error=error, count=self.unsent)
+        self.unsent_datagrams += 1
+        if self.unsent_datagrams & (self.unsent_datagrams - 1) == 0:
+            warn_event(
+                "datagram_unsent",
+                peer=address,
+                error=error,
+                count=self.unsent_datagrams,
+            )
 
     def list_samples(self) -> Iterator[Sample]:
         """Yield the samples of the metrics page."""
@@ -121,13 +126,13 @@
         try:
             message = self._decode(data)
         except msgspec.DecodeError as error:
-            self.unreadable += 1
-            if self.unreadable & (self.unreadable - 1) == 0:
+            self.unreadable_datagrams += 1
+            if self.unreadable_datagrams & (self.unreadable_datagrams - 1) == 0:
                 warn_event(
                     "datagram_unreadable",
                     peer=sender[0],
                     error=error,
-                    count=self.unreadable,
+                    count=self.unreadable_datagrams,
                 )
             return
         self._received.add(type(message), 1, len(data))
--- a/ibisshunt/components/directory/message_counts.py
+++ b/ibisshunt/components/directory/message_counts.py
@@ -47,7 +47,7 @@
 
 
 class MessageCounts:
-    """Own the counts of one direction; bytes are those of the datagrams' payloads."""
+    """Count the messages of one direction, and the bytes of their payloads."""
 
     def __init__(self, direction: str) -> None:
         self._direction = direction
--- a/ibisshunt/components/directory/node.py
+++ b/ibisshunt/components/directory/node.py
@@ -31,8 +31,8 @@
 # Copies of a node's Leave message, and their interval.
 LEAVE_COPIES = 2
 LEAVE_INTERVAL_SECONDS = 0.05
-# Number of new nodes that a log line lists: a line for each would take a thin host
-# longer than contacting them.
+# Number of new nodes that a log line lists: on a small machine a line for
+# each would take longer than contacting them.
 MAX_LOGGED_NODES = 3
 # How long after its last reply a control host counts as reachable: three Hello
 # intervals.
@@ -40,12 +40,12 @@
 
 
 class NodeDirectory:
-    """Own one node's view of the fleet and its copy of the configuration.
+    """Maintain one node's view of the fleet and its copy of the configuration.
 
     ``apply_configuration`` gets an uncompressed configuration and returns its version,
     or None if it is rejected. ``on_new_node`` gets the address of each node that
     becomes known, ``on_node_list`` all nodes that control hosts list. ``is_empty``
-    tells whether the node holds no flows and will hold none.
+    returns whether the node holds no flows and will hold none.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._on_node_list = on_node_list
         self._is_empty = is_empty
         self._on_drained_domains = on_drained_domains
-        self._was_in_touch = False
+        self._was_connected = False
         self._has_left = False
         internal_socket.register_handler(HelloReply, self._handle_hello_reply)
         internal_socket.register_handler(UpdateNotice, self._handle_update_notice)
@@ -91,7 +91,7 @@
             gevent.sleep(TICK_SECONDS)
 
     def leave(self) -> None:
-        """Tell all control hosts that this node goes for good."""
+        """Notify all control hosts that this node leaves permanently."""
         self._has_left = True
         for _ in range(LEAVE_COPIES):
             for address in self.view.list_control_hosts(read_monotonic_clock()):
@@ -104,7 +104,7 @@
             self._download.handle_offer(peer, version, read_monotonic_clock())
         )
 
-    def is_in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether a control host replied lately."""
         return bool(self.list_recent_control_hosts())
 
@@ -115,7 +115,7 @@
         )
 
     def list_control_hosts(self) -> list[str]:
-        """Return all control hosts that are known."""
+        """Return all known control hosts."""
         return self.view.list_control_hosts(read_monotonic_clock())
 
     def dump(self) -> dict[str, Any]:
@@ -126,7 +126,7 @@
             "drained": self.drained_domains,
             "control": self.view.list_control_hosts(now),
             "nodes": self.view.list_nodes(),
-            "in_touch": self.is_in_touch(),
+            "in_touch": self.is_connected(),
         }
 
     def _send_hello(self, now: float) -> float:
@@ -137,25 +137,25 @@
         )
         for address in self.view.list_control_hosts(now):
             self._internal_socket.send(address, hello)
-        in_touch = self.is_in_touch()
-        if in_touch != self._was_in_touch:
-            self._was_in_touch = in_touch
-            if in_touch:
+        is_connected = self.is_connected()
+        if is_connected != self._was_connected:
+            self._was_connected = is_connected
+            if is_connected:
                 log_event("control_in_touch", version=self.version)
             else:
                 warn_event("control_out_of_touch", version=self.version)
-        pause = HELLO_SECONDS if in_touch else DISCONNECTED_HELLO_SECONDS
+        pause = HELLO_SECONDS if is_connected else DISCONNECTED_HELLO_SECONDS
         # Jitter: all nodes of a fleet start at about the same time and would otherwise
-        # send at the same moments for ever.
+        # always send at the same moments.
         return pause * (0.8 + 0.4 * random.random())
 
     def _handle_hello_reply(self, peer: str, reply: HelloReply) -> None:
         self._update_drained_domains(peer, reply.drained_domains)
-        learned = self.view.apply_reply(peer, reply, read_monotonic_clock())
-        if learned:
-            first = ",".join(learned[:MAX_LOGGED_NODES])
-            log_event("nodes_learned", peer=peer, count=len(learned), first=first)
-        for node in learned:
+        new_nodes = self.view.apply_reply(peer, reply, read_monotonic_clock())
+        if new_nodes:
+            first = ",".join(new_nodes[:MAX_LOGGED_NODES])
+            log_event("nodes_learned", peer=peer, count=len(new_nodes), first=first)
+        for node in new_nodes:
             self._on_new_node(node)
         if reply.is_settled:
             listed = self.view.list_listed_nodes(
@@ -168,16 +168,16 @@
         now = read_monotonic_clock()
         self._update_drained_domains(peer, notice.drained_domains)
         self.view.record_control_host(peer, now)
-        if not self.is_in_touch():
+        if not self.is_connected():
             # A control host that has just started may know other nodes. It need not be
-            # a seed, and after an outage the seeds may be back later.
+            # a seed, and after an outage the seeds may start later.
             self._send_hello(now)
         self.handle_offer(peer, notice.version)
 
     def _update_drained_domains(
         self, peer: str, drained: DrainedDomains | None
     ) -> None:
-        """Apply drained domains that are newer than the present ones."""
+        """Apply drained domains that are newer than the current ones."""
         current = self.drained_domains
         if drained is None or (
             current is not None and drained.revision <= current.revision
--- a/ibisshunt/components/directory/saved_state.py
+++ b/ibisshunt/components/directory/saved_state.py
@@ -22,7 +22,7 @@
 
 
 class SavedConfiguration(msgspec.Struct, frozen=True, array_like=True):
-    """Hold a configuration as nodes download it: ``compressed`` is its zlib form."""
+    """Configuration as nodes download it: ``compressed`` is its zlib form."""
 
     version: int = 0
     compressed: bytes = b""
@@ -32,7 +32,7 @@
 
 
 class SavedValue:
-    """Own one file with one value; ``run`` executes a call that blocks on the disk.
+    """Store one value in a file; ``run`` executes a call that blocks on the disk.
 
     No guarantee depends on the file: if it is missing, damaged or foreign, ``default``
     is loaded instead, and writes may fail.
@@ -68,19 +68,19 @@
         try:
             self._run(write_atomically, (self._files, self._name, frame))
         except StorageError as error:
-            # The disk may be full or faulty; the next change or second tries again.
+            # The disk may be full or faulty; the next periodic save retries.
             warn_event("value_unsaved", file=self._name, error=error)
             return False
         return True
 
 
 class DirectoryFiles:
-    """Hold what a control host knew in its previous run.
+    """Files with the state of a control host's previous run.
 
     ``nodes`` are the registered nodes: without them a balancer that starts with the
     fleet waits longer before it resets flows that have ended. ``configuration`` is the
     newest one that was active: without it nodes serve nothing until a leader is
-    elected. ``drained_domains`` is None if the host never was sure of them. ``files``
+    elected. ``drained_domains`` is None if the host never confirmed them. ``files``
     is where others keep files of the same kind.
     """
 
--- a/ibisshunt/components/forwarding/__init__.py
+++ b/ibisshunt/components/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Own the sockets of balancers and agents that forward packets of flows."""
+"""Forward packets of flows over the sockets of balancers and agents."""
--- a/ibisshunt/components/forwarding/agent.py
+++ b/ibisshunt/components/forwarding/agent.py
@@ -1,4 +1,4 @@
-"""Forward packets between balancers and the target beside one agent."""
+"""Forward packets between balancers and the target of one agent."""
 
 from collections.abc import Callable, Iterator
 from typing import Any
@@ -38,10 +38,11 @@
 from ..directory.internal_socket import InternalSocket
 from .agent_samples import list_agent_samples
 
-# Interval of statuses to balancers.
+# Interval between statuses to balancers.
 STATUS_SECONDS = 0.4
-# Shortest interval of statuses when the requests in progress have changed by a slot or
-# more. The part for each balancer bounds what all agents together send to a thin one.
+# Shortest interval between statuses when the requests in progress have changed by a
+# slot or more. The part per balancer bounds the statuses that all agents together send
+# to a balancer on a small machine.
 MIN_STATUS_SECONDS = 0.08
 STATUS_SECONDS_PER_BALANCER = 0.008
 TICK_SECONDS = 0.04
@@ -68,7 +69,7 @@
 
 
 class AgentTask:
-    """Own the sockets and the decisions of one agent."""
+    """Run one agent: its sockets, timers and forwarding decisions."""
 
     def __init__(
         self,
@@ -154,7 +155,7 @@
         return change >= self.agent.request_tracker.slots
 
     def broadcast_status(self) -> None:
-        """Send the present status to all balancers."""
+        """Send the current status to all balancers."""
         now = read_monotonic_clock()
         self._next_status_at = now + STATUS_SECONDS
         self._last_status_at = now
@@ -162,8 +163,8 @@
         status = self.agent.make_status(now)
         self._internal_socket.send_all(self._list_balancers(), status)
 
-    def introduce_to(self, peer: str) -> None:
-        """Send the target's status to a balancer that is new."""
+    def send_initial_status(self, peer: str) -> None:
+        """Send a new balancer the status, and the flows from before any heartbeat."""
         for message in self.agent.make_introduction(
             self._address, read_monotonic_clock()
         ):
@@ -193,11 +194,11 @@
             self.broadcast_status()
 
     def is_target_gone(self) -> bool:
-        """Return whether the target has gone for good: it left, or was long silent."""
+        """Return whether the target is gone: it has left, or was silent for long."""
         return self.agent.state == TargetState.GONE
 
     def stop(self) -> None:
-        """Accept no more flows, and wait for the requests in progress, 2 s at most."""
+        """Stop accepting flows; wait for the requests in progress, 2 s at most."""
         self.agent.pause(read_monotonic_clock())
         self.broadcast_status()
         deadline = read_monotonic_clock() + STOP_TIMEOUT_SECONDS
@@ -309,6 +310,6 @@
         try:
             self._socket.send_to(packet, destination)
         except OSError as error:
-            # Both ends retransmit what is lost; a target that is gone shows in its
-            # heartbeats.
+            # Both ends retransmit lost packets; missing heartbeats show that a target
+            # is gone.
             warn_event("packet_unsent", peer=destination[0], error=error)
--- a/ibisshunt/components/forwarding/agent_samples.py
+++ b/ibisshunt/components/forwarding/agent_samples.py
@@ -19,7 +19,7 @@
     service_histogram: LatencyHistogram,
     rejected_messages: int,
 ) -> Iterator[Sample]:
-    """Yield what an agent counted, and how long its target took to answer."""
+    """Yield the counters of an agent and the response times of its target."""
     yield Sample("ibisshunt_held_flows", GAUGE, {}, len(agent.flows))
     yield Sample(
         "ibisshunt_active_requests", GAUGE, {}, agent.request_tracker.active_count
--- a/ibisshunt/components/forwarding/balancer.py
+++ b/ibisshunt/components/forwarding/balancer.py
@@ -32,11 +32,11 @@
 # Interval at which searches advance and old flows expire.
 TICK_SECONDS = 0.02
 IDLE_TICK_SECONDS = 0.1
-# A balancer that stops forwards until no packet has arrived for this long: a few
-# packets of each open flow would arrive in it.
+# A stopping balancer forwards until no packet has arrived for this long: in this time a
+# few packets of each open flow would arrive.
 QUIET_PERIOD_SECONDS = 0.4
-# How long it forwards at least and at most. Routers remove a host after two failed
-# probes, but use all hosts of a domain when too few are in rotation.
+# Shortest and longest time for which it forwards. Routers remove a host after two
+# failed probes, but use all hosts of a domain when too few are in rotation.
 MIN_DRAIN_SECONDS = 1.3
 MAX_DRAIN_SECONDS = 5.0
 
@@ -49,7 +49,7 @@
 
 
 class BalancerTask:
-    """Own the packet socket and the decisions of one balancer."""
+    """Run one balancer: its packet socket, timers and forwarding decisions."""
 
     def __init__(
         self,
--- a/ibisshunt/components/forwarding/balancer_samples.py
+++ b/ibisshunt/components/forwarding/balancer_samples.py
@@ -12,7 +12,7 @@
 def list_balancer_samples(
     balancer: Balancer, log: DecisionLog, queue_time_histogram: LatencyHistogram
 ) -> Iterator[Sample]:
-    """Yield what a balancer counted, and how long SYNs were queued."""
+    """Yield the counters of a balancer and the queueing times of SYNs."""
     counters = balancer.state.counters
     for outcome, value in (
         ("placed", counters.placed),
--- a/ibisshunt/components/forwarding/checkpoints.py
+++ b/ibisshunt/components/forwarding/checkpoints.py
@@ -12,15 +12,15 @@
 from ...helpers.logging import log_event
 from ..directory.internal_socket import InternalSocket
 
-# Interval of sending entries; flows opened since the last one are unknown after an
-# outage.
+# Interval at which entries are sent; flows opened after the last sending are unknown
+# after an outage.
 SEND_SECONDS = 0.25
 # Interval of checks for control hosts that have not sent all recovered flows.
 REQUEST_CHECK_SECONDS = 0.02
 
 
 class CheckpointTask:
-    """Own the exchange of one balancer's checkpoint entries with control hosts.
+    """Exchange one balancer's checkpoint entries with control hosts.
 
     ``list_control_hosts`` returns the control hosts to request from,
     ``list_recent_control_hosts`` those that replied lately. Entries are stored by one
@@ -42,7 +42,7 @@
         self._internal_socket = internal_socket
         self._list_control_hosts = list_control_hosts
         self._list_recent_control_hosts = list_recent_control_hosts
-        self._copies = tolerated_disk_losses + 1
+        self._replica_count = tolerated_disk_losses + 1
         self._recovery_client = RecoveryClient(read_monotonic_clock())
         internal_socket.register_handler(RecoveryReply, self._handle_recovery_reply)
 
@@ -76,11 +76,11 @@
             self._internal_socket.send(peer, request)
 
     def _choose_replicas(self) -> list[str]:
-        """Return this balancer's control hosts; others differ, to share the load."""
-        recently_heard = self._list_recent_control_hosts()
-        own = self._address.encode()
-        recently_heard.sort(key=lambda control: crc32(own + control.encode()))
-        return recently_heard[: self._copies]
+        """Return this balancer's control hosts, spread by a hash over all balancers."""
+        control_hosts = self._list_recent_control_hosts()
+        balancer_address = self._address.encode()
+        control_hosts.sort(key=lambda host: crc32(balancer_address + host.encode()))
+        return control_hosts[: self._replica_count]
 
     def _handle_recovery_reply(self, peer: str, message: RecoveryReply) -> None:
         now = read_monotonic_clock()
--- a/ibisshunt/components/load/generator.py
+++ b/ibisshunt/components/load/generator.py
@@ -1,4 +1,4 @@
-"""Generate an open-loop load: requests start at planned times, answered or not."""
+"""Generate an open-loop load: requests start at planned times, without waiting."""
 
 import time
 from collections import Counter
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """Describe a load: ``rate`` in requests a second, ``timeout`` in seconds.
+    """Plan of a load: ``rate`` in requests per second, ``timeout`` in seconds.
 
     It ends after ``count`` requests or ``seconds``. ``keyed`` gives each request an
     idempotency key of its own.
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """Hold outcomes and latencies, in microseconds from the planned time of a request.
+    """Outcomes and latencies, in microseconds from the planned time of a request.
 
     Measured from the planned time, a stall counts for all requests that it delays.
     ``skipped`` counts the requests that were not sent because too many were in flight.
@@ -67,7 +67,7 @@
 
 
 def run_load(plan: LoadPlan, clock: Callable[[], float] = time.monotonic) -> LoadResult:
-    """Send the load; return when the count or the time is reached."""
+    """Generate the load; return when the count or the time is reached."""
     result = LoadResult()
     pool = Pool(MAX_IN_FLIGHT)
     client = urllib3.PoolManager(
--- a/ibisshunt/components/load/report.py
+++ b/ibisshunt/components/load/report.py
@@ -16,11 +16,16 @@
         f"offered {plan.rate:g}/s, sent {total} in {result.seconds:.1f} s, "
         f"skipped {result.skipped}",
         "outcome        count  share "
-        + " ".join(f"{_format_percentile(q):>9}" for q in PERCENTILES),
+        + " ".join(
+            f"{_format_percentile(percentile):>9}" for percentile in PERCENTILES
+        ),
     ]
     for outcome, count in result.outcomes.most_common():
         latencies = result.latencies[outcome]
-        values = [latencies.get_value_at_percentile(q) / 1000 for q in PERCENTILES]
+        values = [
+            latencies.get_value_at_percentile(percentile) / 1000
+            for percentile in PERCENTILES
+        ]
         cells = " ".join(f"{value:9.1f}" for value in values)
         lines.append(f"{outcome:<12} {count:>7} {count / total:6.1%} {cells}")
     if result.skipped:
--- a/ibisshunt/components/node/announcer.py
+++ b/ibisshunt/components/node/announcer.py
@@ -24,7 +24,7 @@
 
 
 class Announcer:
-    """Own the announcement of one target."""
+    """Announce one target to the control hosts."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._stopping.set()
 
     def announce(self) -> bool:
-        """Send the announcement once; return whether control accepted it."""
+        """Send the announcement once; return whether a control host accepted it."""
         flows = self._kernel.find("flows").count() if self._kernel.has("flows") else 0
         request = AnnounceRequest(self.announcement, self.leaving, flows)
         sent_at = time.monotonic()
@@ -87,12 +87,12 @@
     def _is_service_known(self) -> bool:
         """Return whether the service is in the configuration of this agent.
 
-        A target that is announced earlier gets flows that its agent must drop.
+        A target that is announced before that gets flows that its agent must drop.
         """
         slices = self._kernel.find("configuration").current.slices.values()
-        own_service = (self.announcement.business, self.announcement.service)
+        target_service = (self.announcement.business, self.announcement.service)
         return any(
-            (slice_.service.business, slice_.service.name) == own_service
+            (slice_.service.business, slice_.service.name) == target_service
             for slice_ in slices
         )
 
--- a/ibisshunt/components/node/watcher.py
+++ b/ibisshunt/components/node/watcher.py
@@ -28,7 +28,7 @@
 from ...protocol.rpc import Channel, Stream
 
 NEWER_REVISION_TIMEOUT_SECONDS: Final = 1.0
-# Control sends an update or a heartbeat at least once per heartbeat interval.
+# A control host sends an update or a heartbeat at least once per heartbeat interval.
 STREAM_SILENCE_TIMEOUT_SECONDS: Final = 3 * HEARTBEAT_SECONDS
 STREAM_CHECK_INTERVAL_SECONDS: Final = 0.25
 REVISION_CHECK_INTERVAL_SECONDS: Final = 0.1
@@ -38,7 +38,7 @@
 
 
 class NodeConfiguration:
-    """Hold the active configuration and notify subscribers of changes."""
+    """Store the active configuration and notify subscribers of changes."""
 
     def __init__(self) -> None:
         self._active = ActiveConfiguration()
@@ -52,7 +52,7 @@
         return self._active.configuration
 
     def subscribe(self, callback: Subscriber) -> None:
-        """Call back with the current configuration and after each change."""
+        """Call ``callback`` with the current configuration and after each change."""
         self._subscribers.append(callback)
         callback(self.current)
 
@@ -93,7 +93,7 @@
 
 
 class ConfigurationWatcher:
-    """Own the watch connection of one node to a control host."""
+    """Watch the configuration over one connection to a control host at a time."""
 
     def __init__(
         self,
--- a/ibisshunt/components/requests/__init__.py
+++ b/ibisshunt/components/requests/__init__.py
@@ -48,7 +48,7 @@
         self.request_handler = RequestHandler(
             self.dispatcher, self.ledger_service, clock
         )
-        self.front = HttpServer(self.request_handler, clock)
+        self.http_server = HttpServer(self.request_handler, clock)
         self.peer_server: PeerServer | None = None
         if settings.rpc is not None:
             self.peer_server = PeerServer(
@@ -67,12 +67,12 @@
 
     def update_configuration(self, configuration: Configuration) -> None:
         """Apply the slice of the agent's own service."""
-        expected = self._settings.target
+        target_settings = self._settings.target
         for slice_ in configuration.slices.values():
             service = slice_.service
             if (service.business, service.name) == (
-                expected.business,
-                expected.service,
+                target_settings.business,
+                target_settings.service,
             ):
                 self._slice = slice_
                 self._apply_slice()
@@ -95,7 +95,7 @@
             return
         self._applied_incarnation = announcement.incarnation
         service = slice_.service
-        self.front.policy = service.requests
+        self.http_server.policy = service.requests
         local_target = self._find_local_target(slice_, announcement)
         warm_deadline = local_target.warm_deadline if local_target else 0.0
         self.dispatcher.update_service(service.slots, service.requests, warm_deadline)
@@ -104,7 +104,7 @@
 
     @staticmethod
     def _find_local_target(slice_: ServiceSlice, announcement: Any) -> Target | None:
-        """Return the target with this agent process in the slice, or None without it.
+        """Return the target of this agent process, or None if the slice lacks it.
 
         A slice from before a restart contains the previous process of the agent. Its
         ledger is lost, so this process must not act as that replica.
@@ -127,7 +127,7 @@
             incarnation,
             slice_.revision,
             list_members(slice_.targets),
-            has_never_lost_agent(slice_),
+            no_departures(slice_),
             slice_.service.requests.retention_ms / 1000,
         )
 
@@ -151,14 +151,14 @@
             and time.monotonic() < replication_deadline
         ):
             gevent.sleep(STOP_POLL_SECONDS)
-        self.front.close()
+        self.http_server.close()
         gevent.killall(self._tasks)
         if self.peer_server is not None:
             self.peer_server.stop()
         self.dispatcher.peers.close()
 
     def _count_active(self) -> int:
-        return self.dispatcher.active_count + self.front.active_count
+        return self.dispatcher.active_count + self.http_server.active_count
 
     def list_samples(self) -> Iterable[Sample]:
         """Yield the samples for the metrics page."""
@@ -172,7 +172,7 @@
         }
         for name, value in gauges.items():
             yield Sample(f"ibisshunt_requests_{name}", SampleKind.GAUGE, {}, value)
-        for outcome, count in self.front.outcomes.items():
+        for outcome, count in self.http_server.outcomes.items():
             labels = {"outcome": outcome}
             name = "ibisshunt_requests_total"
             yield Sample(name, SampleKind.COUNTER, labels, count)
@@ -187,12 +187,12 @@
 
 
 def find_agent_incarnation(target: Target) -> int:
-    """Return the incarnation of the agent process beside a target."""
+    """Return the incarnation of the agent process that serves a target."""
     return hash_incarnation(target.incarnation, target.announcement.agent_session)
 
 
 def list_members(targets: Iterable[Target]) -> list[Member]:
-    """Return the agents that store outcomes: those that stay and can be called."""
+    """Return the agents that store outcomes: not leaving, and with an RPC address."""
     return [
         Member(find_agent_incarnation(target), target.name, target.failure_domain)
         for target in targets
@@ -200,7 +200,7 @@
     ]
 
 
-def has_never_lost_agent(slice_: ServiceSlice) -> bool:
+def no_departures(slice_: ServiceSlice) -> bool:
     """Return whether no agent has ever left the service."""
     all_active = all(target.state in REPLICA_STATES for target in slice_.targets)
     return all_active and slice_.left_revision == 0
@@ -214,7 +214,7 @@
         kernel.find("metrics").collect(requests.list_samples)
     kernel.register(
         "front",
-        requests.front,
+        requests.http_server,
         unload=requests.stop,
         dump=requests.dump,
         ready=requests.is_ready,
--- a/ibisshunt/components/requests/dispatcher.py
+++ b/ibisshunt/components/requests/dispatcher.py
@@ -58,7 +58,7 @@
         self.load_sharing = LoadSharing()
         self.peers = Peers(self.load_sharing, clock, self.report_load, credentials)
         self.admission = Admission(1, RequestPolicy().queue_limit)
-        self.budget = RetryBudget(RequestPolicy().retry_share)
+        self.retry_budget = RetryBudget(RequestPolicy().retry_share)
         self.warm_deadline = 0.0
         self.event_streams = 0
         self._client = client
@@ -76,10 +76,10 @@
         """Apply the record of the service; ``warm_deadline`` is wall-clock time."""
         self.admission.slots = slots
         self.admission.queue_limit = policy.queue_limit
-        self.budget.share = policy.retry_share
+        self.retry_budget.share = policy.retry_share
         self.warm_deadline = warm_deadline
         self._outlier_detector.retain(
-            (self.peers.incarnation, *self.peers.list_known())
+            (self.peers.incarnation, *self.peers.list_peers())
         )
 
     def report_load(self) -> Load:
@@ -95,7 +95,7 @@
         if hops > 0:
             yield from self._run_locally(job)
             return
-        self.budget.count_request()
+        self.retry_budget.count_request()
         peer = self._choose_peer(request)
         if peer is not None:
             yield from self._try_with_fallback(
@@ -155,7 +155,7 @@
             return False
         # Only a request that has not run, or an idempotent one, may run again.
         is_safe = part.outcome == Outcome.NOT_RUN or is_idempotent(job.request)
-        return is_safe and self.budget.take()
+        return is_safe and self.retry_budget.take()
 
     def _forward(self, job: Job, peer: int) -> Iterator[ResponsePart]:
         """Yield the response of another agent; closing the iterator cancels it."""
@@ -167,12 +167,12 @@
             )
 
         started_at, is_streaming, failed = self._clock(), False, True
-        latest = job.deadline + FORWARD_GRACE_SECONDS
+        reply_deadline = job.deadline + FORWARD_GRACE_SECONDS
         self._forwarding_count += 1
         try:
             with closing(self.peers.forward(peer, make_request)) as parts:
                 while part := self._next_part(
-                    parts, latest, is_streaming, "agent is silent"
+                    parts, reply_deadline, is_streaming, "agent is silent"
                 ):
                     is_streaming = (
                         is_streaming
@@ -248,10 +248,10 @@
 
     def _run_in_target(self, job: Job) -> Iterator[ResponsePart]:
         """Yield the target's response; an event stream frees its slot with its head."""
-        started = self._clock()
+        started_at = self._clock()
         seconds: float | None = None
         failed, is_streaming = True, False
-        wall_deadline = read_wall_clock() + job.deadline - started
+        wall_deadline = read_wall_clock() + job.deadline - started_at
         with closing(self._client.run(job.request, wall_deadline)) as parts:
             try:
                 while part := self._next_part(
@@ -261,14 +261,14 @@
                         failed = part.status in (429, 503)
                         is_streaming = self._start_event_stream(part)
                     if part.kind == ResponsePartKind.END and not failed:
-                        seconds = self._clock() - started
+                        seconds = self._clock() - started_at
                     job.target_failed = part.kind == ResponsePartKind.REFUSAL
                     if is_streaming or part.kind in FINAL_PARTS:
                         self._free_slot(job, seconds)
                     yield part
             finally:
                 self.event_streams -= is_streaming
-                elapsed = self._clock() - started
+                elapsed = self._clock() - started_at
                 self._outlier_detector.record(self.peers.incarnation, failed, elapsed)
 
     def _start_event_stream(self, head: ResponsePart) -> bool:
@@ -306,17 +306,17 @@
         return self.run(call.request, call.attempt, deadline, call.hops)
 
     def handle_pull(self, sender: int, load: Load, idle: bool) -> int:
-        """Let an idle agent pull the next request; return how many are forwarded."""
+        """Forward the next request to an idle agent; return how many are forwarded."""
         self.load_sharing.update_load(sender, load, self._clock())
         if load.queued and self._is_idle():
             self._puller.start_pull(sender)
-        if not idle or sender not in self.peers.list_known():
+        if not idle or sender not in self.peers.list_peers():
             return 0
         queued_request = self.admission.peek_next()
         if queued_request is None:
             return 0
         # A request that cannot be forwarded stays in the queue: if it were removed and
-        # queued again it could be refused, and its caller would wait in vain.
+        # queued again, it could be refused after its caller has waited.
         job = self._jobs[queued_request.attempt]
         if job.hops >= MAX_HOPS or accepts_event_stream(job.request):
             return 0
@@ -329,7 +329,7 @@
         """Refuse expired requests, start those that fit, and pull when idle."""
         now = self._clock()
         for attempt in self.admission.list_expired(now):
-            self._refuse_job(attempt, "deadline can not be met any more")
+            self._refuse_job(attempt, "deadline cannot be met any more")
         self._start_jobs()
         self._puller.pull_when_due(self.admission.queued)
 
--- a/ibisshunt/components/requests/http_server.py
+++ b/ibisshunt/components/requests/http_server.py
@@ -38,7 +38,7 @@
 
 
 class IncompleteResponseError(Exception):
-    """Abort the connection: the response has begun and cannot be completed."""
+    """Raised when a response has begun and cannot be completed; aborts the call."""
 
 
 ABORT_ERRORS: Final = (IncompleteResponseError, CallerDisconnectedError)
@@ -54,7 +54,7 @@
         return environ
 
     def log_error(self, msg: str, *args: Any) -> None:
-        """Write nothing: malformed input of a caller is not worth a log line."""
+        """Log nothing: malformed input of a caller needs no log line."""
 
     def handle_error(self, error_type: Any, value: Any, traceback: Any) -> None:
         """Reset the connection when a response cannot be completed.
@@ -105,25 +105,29 @@
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
-    def _serve(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
+    def _serve(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
         arrived_at = self._clock()
         result = read_request(environ)
         if isinstance(result, Failure):
-            return _refuse(start, *result.failure())
+            return _refuse(start_response, *result.failure())
         request = result.unwrap()
         deadline = find_deadline(environ, self.policy.timeout_ms / 1000, arrived_at)
-        return self._respond(environ, start, request, deadline)
+        return self._respond(environ, start_response, request, deadline)
 
-    def _count_outcome(self, start: Any) -> Any:
-        def start_counted(status: str, headers: list[tuple[str, str]]) -> Any:
+    def _count_outcome(self, start_response: Any) -> Any:
+        def start_counted_response(status: str, headers: list[tuple[str, str]]) -> Any:
             outcome = dict(headers).get("Ibisshunt-Outcome", "")
             self.outcomes[outcome] += 1
-            return start(status, headers)
+            return start_response(status, headers)
 
-        return start_counted
+        return start_counted_response
 
     def _respond(
-        self, environ: dict[str, Any], start: Any, request: Request, deadline: float
+        self,
+        environ: dict[str, Any],
+        start_response: Any,
+        request: Request,
+        deadline: float,
     ) -> Iterator[bytes]:
         task = gevent.getcurrent()
         watcher_task = gevent.spawn(
@@ -132,20 +136,22 @@
         parts = self._request_handler.handle(request, deadline)
         self.active_count += 1
         try:
-            yield from _write_response(self._count_outcome(start), parts)
+            yield from _write_response(self._count_outcome(start_response), parts)
         finally:
             self.active_count -= 1
             watcher_task.kill(block=False)
             parts.close()
 
 
-def _write_response(start: Any, parts: Iterator[ResponsePart]) -> Iterator[bytes]:
+def _write_response(
+    start_response: Any, parts: Iterator[ResponsePart]
+) -> Iterator[bytes]:
     first = next(parts, None)
     if first is None or first.kind == ResponsePartKind.REFUSAL:
-        yield from _refuse_part(start, first)
+        yield from _refuse_part(start_response, first)
         return
     headers = [*first.headers, ("Ibisshunt-Outcome", Outcome.DONE.value)]
-    start(f"{first.status} {first.reason}", headers)
+    start_response(f"{first.status} {first.reason}", headers)
     yield b""
     for part in parts:
         if part.kind == ResponsePartKind.END:
@@ -156,15 +162,19 @@
     raise IncompleteResponseError("response ended without its last part")
 
 
-def _refuse_part(start: Any, part: ResponsePart | None) -> Iterable[bytes]:
+def _refuse_part(start_response: Any, part: ResponsePart | None) -> Iterable[bytes]:
     if part is None:
-        return _refuse(start, 504, Outcome.UNKNOWN, "no answer")
+        return _refuse(start_response, 504, Outcome.UNKNOWN, "no answer")
     status = part.status or STATUS_BY_OUTCOME[part.outcome]
-    return _refuse(start, status, part.outcome, part.reason, part.retry_after)
+    return _refuse(start_response, status, part.outcome, part.reason, part.retry_after)
 
 
 def _refuse(
-    start: Any, status: int, outcome: Outcome, reason: str, retry_after: float = 0.0
+    start_response: Any,
+    status: int,
+    outcome: Outcome,
+    reason: str,
+    retry_after: float = 0.0,
 ) -> Iterable[bytes]:
     body = f"{outcome}: {reason}\n".encode()
     headers = [
@@ -174,7 +184,7 @@
     ]
     if retry_after > 0:
         headers.append(("Retry-After", str(math.ceil(retry_after))))
-    start(f"{status} {REASON_PHRASES[status]}", headers)
+    start_response(f"{status} {REASON_PHRASES[status]}", headers)
     return [body]
 
 
@@ -185,13 +195,13 @@
     try:
         body = environ["wsgi.input"].read(MAX_BODY_BYTES + 1)
     except OSError as error:
-        return Failure((400, Outcome.NOT_RUN, f"body is not whole: {error}"))
+        return Failure((400, Outcome.NOT_RUN, f"body is incomplete: {error}"))
     length = environ.get("CONTENT_LENGTH")
     if len(body) > MAX_BODY_BYTES:
         reason = f"body is over {MAX_BODY_BYTES} bytes"
         return Failure((413, Outcome.NOT_RUN, reason))
     if length and length.isdigit() and len(body) < int(length):
-        return Failure((400, Outcome.NOT_RUN, "body is not whole"))
+        return Failure((400, Outcome.NOT_RUN, "body is incomplete"))
     key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
     if len(key) > MAX_KEY_CHARACTERS:
         reason = f"Idempotency-Key is over {MAX_KEY_CHARACTERS} characters"
--- a/ibisshunt/components/requests/jobs.py
+++ b/ibisshunt/components/requests/jobs.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """Hold a request that this agent queues or runs; times are monotonic seconds."""
+    """Request that this agent queues or runs; times are monotonic seconds."""
 
     request: Request
     attempt: Attempt
--- a/ibisshunt/components/requests/ledger_service.py
+++ b/ibisshunt/components/requests/ledger_service.py
@@ -35,14 +35,14 @@
 
 
 class LedgerService:
-    """Own the ledger replica of this agent and drive the claims of its requests."""
+    """Manage the ledger replica of this agent and claim keys for its requests."""
 
     def __init__(self, peers: Peers, clock: Callable[[], float]) -> None:
         self._peers = peers
         self._clock = clock
         self._replica: LedgerReplica | None = None
         self._no_departures = False
-        self._changed = Event()
+        self._view_changed = Event()
         self._unreachable_deadlines: dict[int, float] = {}
         self._served_members: dict[int, set[int]] = {}
         self._last_served_view = EMPTY_VIEW
@@ -71,13 +71,13 @@
         self._replica.ledger.retention = retention
         self._no_departures = no_departures
         self._replica.change_view(make_view(revision, members), self._clock())
-        self._changed.set()
+        self._view_changed.set()
 
     def open_views(self) -> None:
         """Fetch the records of this agent's keys after each change of the members."""
         while True:
-            self._changed.wait(timeout=1.0)
-            self._changed.clear()
+            self._view_changed.wait(timeout=1.0)
+            self._view_changed.clear()
             while self._replica is not None and not self._open_view():
                 gevent.sleep(FETCH_RETRY_SECONDS)
 
@@ -126,11 +126,11 @@
             self._replica.settle(settle, self._clock())
 
     def handle_fetch(self, fetch: Fetch) -> FetchReply:
-        """Answer a fetch; it may show a newer view, which is opened next."""
+        """Answer a fetch; it may contain a newer view, which is opened next."""
         if self._replica is None:
             return FetchReply(0, refused=True)
         reply = self._replica.handle_fetch(fetch, self._clock())
-        self._changed.set()
+        self._view_changed.set()
         if not (reply.refused or reply.more):
             self._served_members.setdefault(fetch.view.digest, set()).add(
                 fetch.incarnation
@@ -218,8 +218,10 @@
             replicas |= {pair.first.incarnation, pair.second.incarnation}
         if self._replica.incarnation in replicas:
             self.handle_settle(settle)
-        others = replicas - {self._replica.incarnation}
-        return [gevent.spawn(self._send_settle_to, peer, settle) for peer in others]
+        remote_replicas = replicas - {self._replica.incarnation}
+        return [
+            gevent.spawn(self._send_settle_to, peer, settle) for peer in remote_replicas
+        ]
 
     def _send_settle_to(self, replica: int, settle: Settle) -> None:
         for _ in range(MAX_SETTLE_ATTEMPTS):
--- a/ibisshunt/components/requests/peers.py
+++ b/ibisshunt/components/requests/peers.py
@@ -39,7 +39,7 @@
 
 
 class Peers:
-    """Own the channels to the other agents; store the loads that they report."""
+    """Call the other agents and store the loads that they report."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._channels: dict[int, Channel] = {}
 
     def update_addresses(self, incarnation: int, addresses: dict[int, Address]) -> None:
-        """Set the agents that can be called; close channels that are not needed."""
+        """Set the agents that can be called; close channels no longer needed."""
         self.incarnation = incarnation
         for peer in [*self._channels]:
             if addresses.get(peer) != self._addresses.get(peer):
@@ -65,7 +65,7 @@
         self._addresses = dict(addresses)
         self._load_sharing.retain(addresses)
 
-    def list_known(self) -> tuple[int, ...]:
+    def list_peers(self) -> tuple[int, ...]:
         """Return the incarnations of the agents that can be called."""
         return tuple(peer for peer in self._addresses if peer != self.incarnation)
 
--- a/ibisshunt/components/requests/request_handler.py
+++ b/ibisshunt/components/requests/request_handler.py
@@ -25,7 +25,7 @@
 
 
 class CallerDisconnectedError(Exception):
-    """Interrupt a task whose caller has disconnected."""
+    """Raised in a task whose caller has disconnected."""
 
 
 class RequestHandler:
@@ -73,7 +73,7 @@
         try:
             parts = task.get()
         except CallerDisconnectedError:
-            self._dispatcher.withdraw(attempt, "caller left")
+            self._dispatcher.withdraw(attempt, "caller disconnected")
             raise
         yield from parts
 
@@ -90,7 +90,7 @@
             return [last]
         if last.kind != ResponsePartKind.END:
             self._ledger_service.settle_unknown(request, attempt)
-            return [refuse(Outcome.UNKNOWN, "answer is not whole", 1.0)]
+            return [refuse(Outcome.UNKNOWN, "response is incomplete", 1.0)]
         self._ledger_service.settle_done(request, attempt, _make_stored_response(parts))
         return parts
 
@@ -136,9 +136,9 @@
 
 
 def _make_claim_response(
-    result: ClaimOutcome, reason: str, response: Any
+    claim_outcome: ClaimOutcome, reason: str, response: Any
 ) -> Iterator[ResponsePart]:
-    if result == ClaimOutcome.REPLAY and response is not None and response.kept:
+    if claim_outcome == ClaimOutcome.REPLAY and response is not None and response.kept:
         headers = (*response.headers, ("Ibisshunt-Replayed", "1"))
         yield ResponsePart(
             ResponsePartKind.HEAD, response.status, response.reason, headers
@@ -146,14 +146,16 @@
         yield ResponsePart(ResponsePartKind.DATA, data=response.body)
         yield ResponsePart(ResponsePartKind.END)
         return
-    if result == ClaimOutcome.REPLAY:
-        reason = "the request has run; its answer was too large to keep"
+    if claim_outcome == ClaimOutcome.REPLAY:
+        reason = "the request has run; its response was too large to store"
         yield ResponsePart(ResponsePartKind.REFUSAL, 409, reason, outcome=Outcome.DONE)
         return
-    if result == ClaimOutcome.MISMATCH:
+    if claim_outcome == ClaimOutcome.MISMATCH:
         yield ResponsePart(
             ResponsePartKind.REFUSAL, 422, reason, outcome=Outcome.NOT_RUN
         )
         return
-    outcome = Outcome.NOT_RUN if result == ClaimOutcome.NOT_RUN else Outcome.UNKNOWN
+    outcome = (
+        Outcome.NOT_RUN if claim_outcome == ClaimOutcome.NOT_RUN else Outcome.UNKNOWN
+    )
     yield refuse(outcome, reason, 1.0)
--- a/ibisshunt/components/requests/request_puller.py
+++ b/ibisshunt/components/requests/request_puller.py
@@ -30,7 +30,7 @@
         """Call an agent if a pull is due: to get requests or to report the queue."""
         if self._is_pulling:
             return
-        peers, idle = self._peers.list_known(), self._is_idle()
+        peers, idle = self._peers.list_peers(), self._is_idle()
         peer = self._schedule.choose_peer(peers, idle, queued, random, self._clock())
         if peer is not None:
             self.start_pull(peer)
--- a/ibisshunt/components/requests/target_client.py
+++ b/ibisshunt/components/requests/target_client.py
@@ -34,8 +34,8 @@
 class TargetClient:
     """Send each request over a new connection.
 
-    A reused connection can return the late response of an earlier request. Or the
-    target closes it while a request is sent, and it is unknown whether the request ran.
+    A reused connection can return the late response of an earlier request, or the
+    target closes it while a request is sent, and it is unknown whether that has run.
     The target is on the same host, so a new connection costs little.
     """
 
@@ -87,7 +87,7 @@
 
 
 def refuse(outcome: Outcome, reason: str, retry_after: float = 0.0) -> ResponsePart:
-    """Return the part that tells a caller why there is no response."""
+    """Return the response part that states why a request was refused."""
     return ResponsePart(
         ResponsePartKind.REFUSAL,
         outcome=outcome,
@@ -109,7 +109,7 @@
     has_no_body = request.method == "HEAD" or response.status in (204, 304)
     is_delimited = "content-length" in response.headers or response.chunked
     if not (has_no_body or is_delimited):
-        yield refuse(Outcome.UNKNOWN, "the end of the target's answer can't be told")
+        yield refuse(Outcome.UNKNOWN, "target response has neither a length nor chunks")
         return
     headers = tuple(
         (name, value)
--- a/ibisshunt/components/standin/fabric.py
+++ b/ibisshunt/components/standin/fabric.py
@@ -17,7 +17,7 @@
 
 
 class FlowBrokenError(Exception):
-    """Signal that a flow got a reset or no answer."""
+    """Raised when a flow got a reset or no reply."""
 
 
 class Fabric:
@@ -50,7 +50,7 @@
         self._socket.sendto(data, balancer.as_pair())
 
     def exchange(self, segment: Segment) -> Segment:
-        """Send a segment until it is answered; raise FlowBrokenError if it never is."""
+        """Send a segment until a reply arrives; raise FlowBrokenError if none does."""
         pair = (segment.source, segment.destination)
         for _ in range(MAX_ATTEMPTS):
             self._pending_replies[pair] = AsyncResult()
@@ -61,7 +61,7 @@
                 continue
             finally:
                 self._pending_replies.pop(pair, None)
-        raise FlowBrokenError(f"no answer to {segment.source}")
+        raise FlowBrokenError(f"no reply to {segment.source}")
 
     def _run(self) -> None:
         while True:
@@ -88,10 +88,10 @@
         """Open the flow with a SYN; raise FlowBrokenError when it is refused."""
         reply = self._send_segment(SYN, b"", 1)
         if not reply.has_flag(SYN):
-            raise FlowBrokenError(f"{self._source} refused")
+            raise FlowBrokenError(f"flow from {self._source} refused")
 
     def send_request(self, payload: bytes) -> bytes:
-        """Send data and return the answer; raise FlowBrokenError on a reset."""
+        """Send data and return the reply; raise FlowBrokenError on a reset."""
         return self._send_segment(ACK | PUSH, payload, len(payload)).payload
 
     def close(self) -> None:
@@ -109,7 +109,7 @@
         )
         reply = self._fabric.exchange(segment)
         if reply.has_flag(RST):
-            raise FlowBrokenError(f"{self._source} got a reset")
+            raise FlowBrokenError(f"flow from {self._source} got a reset")
         self._sequence += consumed
         flag_length = 1 if reply.has_flag(SYN) or reply.has_flag(FIN) else 0
         self._acknowledgment = reply.sequence + len(reply.payload) + flag_length
--- a/ibisshunt/components/standin/segments.py
+++ b/ibisshunt/components/standin/segments.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """Hold one TCP segment and its two ends."""
+    """TCP segment with its source and destination."""
 
     source: Address
     destination: Address
@@ -20,7 +20,7 @@
     payload: bytes = b""
 
     def has_flag(self, flag: int) -> bool:
-        """Tell whether a TCP flag is set."""
+        """Return whether a TCP flag is set."""
         return bool(self.flags & flag)
 
 
--- a/ibisshunt/components/standin/traffic.py
+++ b/ibisshunt/components/standin/traffic.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceAddress:
-    """Hold a service's name and the address at which callers reach it."""
+    """Name of a service and the address at which callers reach it."""
 
     name: str
     address: Address
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficSummary:
-    """Count the outcomes of the flows of one service.
+    """Counts of the outcomes of the flows of one service.
 
     ``misrouted`` counts answers of another service, or of another target than the one
     that answered before on the same flow.
@@ -45,7 +45,7 @@
     between_rounds: Callable[[int], None] = lambda _: None,
     first_port: int = FIRST_CALLER_PORT,
 ) -> TrafficSummary:
-    """Open flows, send one request a round on each, close them; count the outcomes.
+    """Open flows, send one request per round on each, close them; count the outcomes.
 
     ``between_rounds`` is called with the number of the next round, to change the system
     while the flows are open.
@@ -121,12 +121,12 @@
 
 
 def fetch_page(address: Address, path: str, timeout: float = 5.0) -> str:
-    """Return the body that a service answers to an HTTP GET request."""
+    """Return the body of a service's response to an HTTP GET request."""
     return _fetch("GET", address, path, timeout, {})
 
 
 def post_with_key(address: Address, path: str, key: str, timeout: float = 5.0) -> str:
-    """Send a non-idempotent request under a key; return the body of the answer."""
+    """Send a non-idempotent request under a key; return the response body."""
     return _fetch("POST", address, path, timeout, {"Idempotency-Key": key})
 
 
--- a/ibisshunt/components/storage/files.py
+++ b/ibisshunt/components/storage/files.py
@@ -125,8 +125,8 @@
     def append(self, name: str, data: bytes) -> None:
         """Append to a file; a failed write is rolled back.
 
-        A host that waits for disk space acknowledges nothing and answers nobody, as if
-        it were partitioned: the others elect a leader that can write. Ending the
+        A host that waits for disk space acknowledges nothing and sends no replies, as
+        if it were partitioned: the others elect a leader that can write. Ending the
         process instead would not restore service any sooner.
         """
         has_warned = False
--- a/ibisshunt/components/storage/frames.py
+++ b/ibisshunt/components/storage/frames.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameHeader:
-    """Hold the header of one frame; ``length`` and ``checksum`` are of its payload."""
+    """Header of one frame; ``length`` and ``checksum`` are those of its payload."""
 
     sequence: int
     length: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScanResult:
-    """Hold the payloads of a file and the length of its valid part in bytes."""
+    """Payloads of a file and the length of its valid part in bytes."""
 
     payloads: tuple[bytes, ...]
     valid_bytes: int
--- a/ibisshunt/components/storage/store.py
+++ b/ibisshunt/components/storage/store.py
@@ -1,8 +1,8 @@
 """Store the hard state, the log and the newest snapshot of one host.
 
 Files: ``wal-N`` (only the highest N is used), ``snapshot-INDEX``, ``identity``. The
-first frame of a wal file holds the complete hard state and log at its creation, so
-older wal files are not needed; each later frame holds the batch of one sync.
+first frame of a WAL file holds the complete hard state and log at its creation, so
+older WAL files are not needed; each later frame holds the batch of one sync.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 WAL_PREFIX = "wal-"
 SNAPSHOT_PREFIX = "snapshot-"
 IDENTITY_NAME = "identity"
-KindT = TypeVar("KindT")
+DecodedT = TypeVar("DecodedT")
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Hold what one sync makes durable.
+    """State that one sync makes durable.
 
     ``entries`` replace the log from their first index on. ``base`` is only set in the
     first batch of a file.
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredState:
-    """Hold the state that was read from disk."""
+    """State that was read from disk."""
 
     identity: Identity
     hard_state: HardState
@@ -55,7 +55,7 @@
 
 
 class LogStore:
-    """Own the log, snapshot and identity files of one host."""
+    """Read and write the log, snapshot and identity files of one host."""
 
     def __init__(self, files: Files) -> None:
         self._files = files
@@ -66,7 +66,7 @@
 
     @property
     def wal_bytes(self) -> int:
-        """Return the size of the current wal file."""
+        """Return the size of the current WAL file in bytes."""
         return self._wal_bytes
 
     def count_free_bytes(self) -> int:
@@ -87,21 +87,21 @@
             return self._finish_recovery(
                 host_name, make_disk_id, HardState(), LogBase(), (), None
             )
-        hard, base, entries = self._read_wal(wal_names[-1])
+        hard_state, base, entries = self._read_wal(wal_names[-1])
         for old_name in wal_names[:-1]:
             self._files.remove(old_name)
         reconciled_base, entries = _reconcile_with_snapshot(base, entries, snapshot)
         if reconciled_base != base:
-            # The wal file still holds the log that the snapshot replaced. Entries
+            # The WAL file still holds the log that the snapshot replaced. Entries
             # appended to it would leave a gap, and the next start would fail.
             base = reconciled_base
-            self._start_wal(Batch(hard, entries, base))
+            self._start_wal(Batch(hard_state, entries, base))
         return self._finish_recovery(
-            host_name, make_disk_id, hard, base, entries, snapshot
+            host_name, make_disk_id, hard_state, base, entries, snapshot
         )
 
     def write(self, batch: Batch) -> None:
-        """Append a batch to the wal file; it is durable after ``sync``."""
+        """Append a batch to the WAL file; it is durable after ``sync``."""
         if self._has_unsynced_batch:
             raise AssertionError(
                 "found an unsynced batch, expected a sync before the next write"
@@ -126,9 +126,9 @@
         base: LogBase,
         entries: tuple[Entry, ...],
     ) -> None:
-        """Write a snapshot, then start a wal file with the given state.
+        """Write a snapshot, then start a WAL file with the given state.
 
-        The snapshot is durable before the old wal file is removed, so after a crash at
+        The snapshot is durable before the old WAL file is removed, so after a crash at
         any step either the old state or the new one can be recovered.
         """
         name = f"{SNAPSHOT_PREFIX}{snapshot.index:020d}"
@@ -233,7 +233,7 @@
         return identity
 
 
-def _decode(name: str, payload: bytes, type_: type[KindT]) -> KindT:
+def _decode(name: str, payload: bytes, type_: type[DecodedT]) -> DecodedT:
     result = decode(payload, type_)
     if fault := result.swap().value_or(None):
         raise StorageError(Fault("recover file", name, fault.reason))
--- a/ibisshunt/components/versions/__init__.py
+++ b/ibisshunt/components/versions/__init__.py
@@ -29,14 +29,14 @@
 from ..consensus import ReplicatedLog, ReplicatedLogOptions, StateMachine
 from ..consensus.diagnostics import list_samples
 
-# Timeout of a change or read; callers then try another control host.
+# Timeout of a change or read; the client then tries another control host.
 REQUEST_TIMEOUT_SECONDS = 0.9
-# Heartbeat interval of the leader, and its silence after which the others start an
-# election (randomized up to twice this).
+# Heartbeat interval of the leader, and the time without one after which the others
+# start an election (randomized up to twice this).
 HEARTBEAT_SECONDS = 0.15
 ELECTION_TIMEOUT_SECONDS = 0.6
-# Wait of a host that has just started before it starts an election (randomized up to
-# twice this); the other hosts of its fleet start meanwhile.
+# How long a host that has just started waits before it starts an election (randomized
+# up to twice this); the other hosts of its fleet start meanwhile.
 FIRST_ELECTION_TIMEOUT_SECONDS = 0.1
 # Disk space kept free, so that entries replicated by other leaders still fit.
 RESERVED_DISK_BYTES = 8 * 1024 * 1024
@@ -46,11 +46,11 @@
     """Provide the fleet's configuration and drained domains to local services."""
 
     def __init__(
-        self, state: FleetState, log: ReplicatedLog, wanted_voters: int
+        self, state: FleetState, log: ReplicatedLog, required_voters: int
     ) -> None:
         self.state = state
         self._log = log
-        self._wanted_voters = wanted_voters
+        self._required_voters = required_voters
         self.put_latency = LatencyHistogram("ibisshunt_accept_seconds")
         self.domain_change_latency = LatencyHistogram("ibisshunt_domain_order_seconds")
 
@@ -104,7 +104,7 @@
         return is_successful(self._log.read_barrier(REQUEST_TIMEOUT_SECONDS))
 
     def add_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Ask these hosts to join too if this host is not a member yet."""
+        """Send hello requests to these hosts too if this host is not a member yet."""
         port = self._log.settings.rpc.port
         self._log.joiner.add_peers({seed: Address(seed, port) for seed in seeds})
 
@@ -125,11 +125,11 @@
 
     def _find_refusal(self, step: str) -> Fault | None:
         voters = list_voters(self._log.driver.state.log.membership)
-        if len(voters) >= self._wanted_voters:
+        if len(voters) >= self._required_voters:
             return None
         # With fewer voters, the number of host losses that the fleet must survive could
         # lose accepted changes.
-        reason = f"found {len(voters)} voters, expected {self._wanted_voters}"
+        reason = f"found {len(voters)} voters, expected {self._required_voters}"
         return NotAccepted(step, "", reason)
 
 
@@ -152,13 +152,13 @@
         data_folder=settings.data_folder,
         peers=peers,
     )
-    wanted_voters = 2 * settings.fault_tolerance + 1
+    required_voters = 2 * settings.fault_tolerance + 1
     options = ReplicatedLogOptions(
         consensus=ConsensusSettings(
             heartbeat_seconds=HEARTBEAT_SECONDS,
             election_seconds=ELECTION_TIMEOUT_SECONDS,
             first_election_seconds=FIRST_ELECTION_TIMEOUT_SECONDS,
-            min_voters=wanted_voters,
+            min_voters=required_voters,
         ),
         make_channel=FramedChannel,
         reserved_bytes=RESERVED_DISK_BYTES,
@@ -170,7 +170,7 @@
     server = FramedServer(settings.internal_rpc_address, consensus.make_handlers(log))
     server.start()
     log.start()
-    service = FleetStateService(state, log, wanted_voters)
+    service = FleetStateService(state, log, required_voters)
 
     def unload() -> None:
         log.stop()
--- a/ibisshunt/components/web/__init__.py
+++ b/ibisshunt/components/web/__init__.py
@@ -1,4 +1,4 @@
-"""Serve HTTP/1.1 requests to a node from outside."""
+"""Serve HTTP/1.1 requests from outside the fleet."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class WebRequest(msgspec.Struct, frozen=True):
-    """Hold one request."""
+    """HTTP request."""
 
     method: str
     path: str
@@ -17,7 +17,7 @@
 
 
 class WebReply(msgspec.Struct, frozen=True):
-    """Hold one reply; ``status`` is the status code and the reason phrase."""
+    """HTTP reply; ``status`` is the status code and the reason phrase."""
 
     status: str
     body: bytes = b"{}"
--- a/ibisshunt/components/web/metrics.py
+++ b/ibisshunt/components/web/metrics.py
@@ -16,7 +16,7 @@
         if request.path != METRICS_PATH:
             return WebReply("404 Not Found")
         # Imported on the first request: the library costs a small host 30 ms and 8 MB,
-        # which it needs only when somebody reads the page.
+        # needed only when the page is scraped.
         from ...helpers.metrics import Metrics
 
         metrics = Metrics()
--- a/ibisshunt/components/web/minimal_server.py
+++ b/ibisshunt/components/web/minimal_server.py
@@ -1,7 +1,7 @@
 """Serve the few short HTTP calls of a host with little CPU and memory.
 
-The import of a whole HTTP library takes a balancer's host with a sixth of a core 0.15 s
-at each start, and 3 MB. Probes and heartbeats need only a request line, a
+Importing a complete HTTP library takes 0.15 s at each start on a balancer's host with a
+sixth of a core, and 3 MB. Probes and heartbeats need only a request line, a
 Content-Length header and a body.
 """
 
@@ -40,7 +40,7 @@
         self._server = StreamServer(_get_listener(address), self._serve_connection)
 
     def start(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         self._server.start()
 
     def stop(self) -> None:
--- a/ibisshunt/components/web/wsgi.py
+++ b/ibisshunt/components/web/wsgi.py
@@ -9,7 +9,7 @@
 from ...model.address import Address
 from . import MAX_BODY_BYTES, TOO_LARGE_REPLY, RequestHandler, WebReply, WebRequest
 
-# Never read: the connection is closed.
+# Never received: the client has closed the connection.
 CLIENT_GONE_REPLY = WebReply("503 Service Unavailable")
 
 # Key of the WSGI environment with the socket of the request's connection.
@@ -27,15 +27,15 @@
 
 
 def start_wsgi_server(address: Address, handle: RequestHandler) -> WSGIServer:
-    """Return a started server; the calling code has to stop it."""
+    """Return a started server; the calling code must stop it."""
 
-    def application(environ: dict[str, Any], start: Any) -> Iterable[bytes]:
+    def application(environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
         reply = _handle_request(environ, handle)
         headers = [
             ("Content-Type", reply.content_type),
             ("Content-Length", str(len(reply.body))),
         ]
-        start(reply.status, headers)
+        start_response(reply.status, headers)
         return [reply.body]
 
     server = WSGIServer(
--- a/ibisshunt/coordination/records/changes.py
+++ b/ibisshunt/coordination/records/changes.py
@@ -188,7 +188,7 @@
     owner = (
         f"service {owner_key[2]!r}" if owner_key[1] == change.business else "a service"
     )
-    return f"key address: {listener} is taken by {owner}"
+    return f"key address: {listener} is taken by {owner} of another record"
 
 
 def _find_key_loss(change: RecordChange, current: Record | None) -> str:
--- a/ibisshunt/coordination/records/store.py
+++ b/ibisshunt/coordination/records/store.py
@@ -106,7 +106,7 @@
         results = tuple(
             apply_change(new_set, change, index, self._count_targets, domains)
             if position not in duplicates
-            else ChangeResult(change.name, 0, "appears twice in one request")
+            else ChangeResult(change.name, 0, "stands twice in one request")
             for position, change in enumerate(command.changes)
         )
         if any(result.error for result in results):
--- a/ibisshunt/platform/programs.py
+++ b/ibisshunt/platform/programs.py
@@ -145,7 +145,7 @@
         NodeRole.AGENT,
         settings.seeds,
         apply_configuration,
-        task.introduce_to,
+        task.send_initial_status,
         settings.failure_domain,
         is_empty=task.is_target_gone,
         on_drained_domains=task.update_drained_domains,
--- a/measurements/consensus.py
+++ b/measurements/consensus.py
@@ -126,7 +126,7 @@
     """Propose from a number of callers for some seconds."""
     log = leader.log
     log.driver.timings.clear()
-    syncs = log.driver.syncs
+    syncs = log.driver.sync_count
     sent = sum(host.log.links.count_sent_bytes() for host in hosts)
     totals, refused = [], [0]
     end = time.monotonic() + seconds
@@ -148,7 +148,7 @@
         "callers": callers,
         "accepted_per_second": round(len(totals) / seconds, 1),
         "not_accepted": refused[0],
-        "entries_per_sync": round(count / max(1, log.driver.syncs - syncs), 2),
+        "entries_per_sync": round(count / max(1, log.driver.sync_count - syncs), 2),
         "total": describe(totals),
         "sync": describe([t.sync for t in log.driver.timings]),
         "quorum": describe([t.quorum for t in log.driver.timings]),
--- a/measurements/control.py
+++ b/measurements/control.py
@@ -284,7 +284,7 @@
 def wait_for_streams(service):
     """Wait until all subscribers watch."""
     deadline = time.monotonic() + 20
-    while service.control.watches.streams < SUBSCRIBERS:
+    while service.control.watches.stream_count < SUBSCRIBERS:
         assert time.monotonic() < deadline, "subscribers did not come"
         gevent.sleep(0.1)
 
--- a/measurements/flows_rate.py
+++ b/measurements/flows_rate.py
@@ -151,7 +151,7 @@
     kernel = make_kernel(make_configuration(sink))
     balancer_packets.setup(kernel, settings)
     task = kernel.find("packets")
-    return task.address, "", lambda: task.describe()["forwarded"], kernel.stop
+    return task.address, "", lambda: task.dump()["forwarded"], kernel.stop
 
 
 def start_agent(sink):
@@ -167,7 +167,7 @@
         packet = make_packet(20_000 + number, dpkt.tcp.TH_SYN)
         task._handle(pack_header(head) + packet, ("127.0.0.1", 1))
     prefix = pack_header(head).hex()
-    return task.address, prefix, lambda: task.describe()["delivered"], kernel.stop
+    return task.address, prefix, lambda: task.dump()["delivered"], kernel.stop
 
 
 def measure(start, sink) -> dict:
--- a/measurements/requests_agent.py
+++ b/measurements/requests_agent.py
@@ -67,7 +67,9 @@
     requests = setup(kernel, settings)
     server = StreamServer(
         ("127.0.0.1", 0),
-        lambda connection, pair: requests.front.handle(connection, Address(*pair)),
+        lambda connection, pair: requests.http_server.handle(
+            connection, Address(*pair)
+        ),
     )
     server.start()
     print(requests.peer_server.address.port, server.server_port, flush=True)
--- a/tests/components/consensus/test_replicated_log.py
+++ b/tests/components/consensus/test_replicated_log.py
@@ -109,7 +109,7 @@
     host.start([])
     replies = [host.log.propose(b"v%d" % number, 10.0) for number in range(50)]
     assert [reply.unwrap() for reply in replies] == [b"%d" % n for n in range(1, 51)]
-    assert host.log.driver.snapshots == 2
+    assert host.log.driver.snapshot_count == 2
     host.stop()
     host.bind()
     host.start([])
--- a/tests/components/directory/test_malformed_datagrams.py
+++ b/tests/components/directory/test_malformed_datagrams.py
@@ -75,7 +75,7 @@
     socket._handle_datagram(
         msgspec.msgpack.encode(["h", role, 1, 1, "a", False]), SENDER
     )
-    assert socket.unreadable == 1
+    assert socket.unreadable_datagrams == 1
 
 
 @pytest.mark.parametrize("field", range(1, 12))
@@ -84,7 +84,7 @@
     values = msgspec.to_builtins(status)
     values[field] = -5
     socket._handle_datagram(msgspec.msgpack.encode(values), SENDER)
-    assert socket.unreadable == 1
+    assert socket.unreadable_datagrams == 1
 
 
 def send_to_all(datagram):
--- a/tests/components/requests/request_service.py
+++ b/tests/components/requests/request_service.py
@@ -124,7 +124,7 @@
         self.port = self.server.server_port
 
     def accept(self, connection, pair):
-        self.requests.front.handle(connection, Address(*pair))
+        self.requests.http_server.handle(connection, Address(*pair))
 
     def describe(self, state=TargetState.READY):
         announcement = Announcement(
--- a/tests/components/requests/test_front.py
+++ b/tests/components/requests/test_front.py
@@ -233,8 +233,8 @@
     for agent in service.agents:
         dispatcher = agent.requests.dispatcher
         assert (dispatcher.admission.slots, dispatcher.admission.queue_limit) == (2, 3)
-        assert dispatcher.budget.share == 0.5
-        assert agent.requests.front.policy.timeout_ms == 700
+        assert dispatcher.retry_budget.share == 0.5
+        assert agent.requests.http_server.policy.timeout_ms == 700
 
 
 def test_a_queued_event_stream_stays_at_its_agent(service):
--- a/tests/coordination/records/test_store.py
+++ b/tests/coordination/records/test_store.py
@@ -90,7 +90,7 @@
     assert "business 'none' does not exist" in errors[1]
     assert driver.store.list_records() == before
     errors = driver.errors(service("marea", "docs", 81), service("marea", "docs", 82))
-    assert "appears twice" in errors[1]
+    assert "stands twice" in errors[1]
 
 
 @pytest.mark.parametrize(
