--- a/ibisshunt/components/agent/streams.py
+++ b/ibisshunt/components/agent/streams.py
@@ -17,7 +17,12 @@
 from ...helpers.relay import relay_streams, reset_connection
 from ...model.configuration import Configuration, ServiceSlice
 from ...model.record import FrontKind
-from ...protocol.preamble import Preamble, Verdict, receive_preamble, send_verdict
+from ...protocol.preamble import (
+    Preamble,
+    PreambleStatus,
+    receive_preamble,
+    send_verdict,
+)
 from ...settings import AgentSettings
 
 PREAMBLE_TIMEOUT_SECONDS: Final = 2.0
@@ -52,11 +57,11 @@
         received = receive_preamble(connection, PREAMBLE_TIMEOUT_SECONDS)
         if isinstance(received, Failure):
             warn_event("preamble_refused", peer=pair, fault=received.failure())
-            self._send_verdict(connection, Verdict.MALFORMED)
+            self._send_verdict(connection, PreambleStatus.MALFORMED)
             return
         preamble = received.unwrap()
         verdict = self._check_preamble(preamble)
-        if verdict != Verdict.TAKEN:
+        if verdict != PreambleStatus.TAKEN:
             self._send_verdict(connection, verdict)
             return
         self._open_streams += 1
@@ -65,7 +70,7 @@
         finally:
             self._open_streams -= 1
 
-    def _check_preamble(self, preamble: Preamble) -> Verdict:
+    def _check_preamble(self, preamble: Preamble) -> PreambleStatus:
         """Repeat the balancer's checks with the agent's own configuration.
 
         A balancer with an outdated configuration may send a stream of another service
@@ -73,23 +78,23 @@
         """
         slice_ = self._slice
         if slice_ is None or slice_.number != preamble.service_number:
-            return Verdict.WRONG_SERVICE
+            return PreambleStatus.WRONG_SERVICE
         announcement = self._kernel.find("announcement")
         if announcement.incarnation != preamble.incarnation:
-            return Verdict.WRONG_INCARNATION
+            return PreambleStatus.WRONG_INCARNATION
         try:
             caller_ip = socket.inet_aton(preamble.caller.ip)
         except OSError:
-            return Verdict.MALFORMED
+            return PreambleStatus.MALFORMED
         if not self._is_caller_allowed(caller_ip):
-            return Verdict.CALLER_REFUSED
+            return PreambleStatus.CALLER_REFUSED
         if announcement.leaving or self._kernel.is_stopping():
-            return Verdict.LEAVING
-        return Verdict.TAKEN
+            return PreambleStatus.LEAVING
+        return PreambleStatus.TAKEN
 
     def _serve_stream(self, connection: socket.socket, preamble: Preamble) -> None:
         if self._slice.service.front == FrontKind.HTTP and self._kernel.has("front"):
-            self._send_verdict(connection, Verdict.TAKEN)
+            self._send_verdict(connection, PreambleStatus.TAKEN)
             self._kernel.find("front").handle(connection, preamble.caller)
             return
         address = self._settings.target.streams
@@ -99,22 +104,22 @@
             )
         except OSError as error:
             warn_event("target_unreachable", peer=address, reason=error)
-            self._send_verdict(connection, Verdict.TARGET_UNREACHABLE)
+            self._send_verdict(connection, PreambleStatus.TARGET_UNREACHABLE)
             return
         target.settimeout(None)
-        if self._send_verdict(connection, Verdict.TAKEN):
+        if self._send_verdict(connection, PreambleStatus.TAKEN):
             relay_streams(connection, target)
         else:
             target.close()
 
-    def _send_verdict(self, connection: socket.socket, verdict: Verdict) -> bool:
+    def _send_verdict(self, connection: socket.socket, verdict: PreambleStatus) -> bool:
         self._verdict_counts[verdict.name.lower()] += 1
         try:
             send_verdict(connection, verdict)
         except OSError:
             reset_connection(connection)
             return False
-        if verdict != Verdict.TAKEN:
+        if verdict != PreambleStatus.TAKEN:
             connection.close()
         return True
 
--- a/ibisshunt/components/balancer/streams.py
+++ b/ibisshunt/components/balancer/streams.py
@@ -22,7 +22,12 @@
 from ...model.configuration import Configuration, ServiceSlice
 from ...model.flow import Protocol
 from ...model.target import Target
-from ...protocol.preamble import Preamble, Verdict, receive_verdict, send_preamble
+from ...protocol.preamble import (
+    Preamble,
+    PreambleStatus,
+    receive_verdict,
+    send_preamble,
+)
 from ...settings import BalancerSettings
 
 CONNECT_TIMEOUT_SECONDS: Final = 2.0
@@ -167,7 +172,7 @@
             agent.close()
             return None
         verdict = receive_verdict(agent, 2 * CONNECT_TIMEOUT_SECONDS)
-        if verdict.value_or(None) != Verdict.TAKEN:
+        if verdict.value_or(None) != PreambleStatus.TAKEN:
             warn_event("agent_refused", peer=address, verdict=verdict)
             agent.close()
             return None
--- a/ibisshunt/components/control/__init__.py
+++ b/ibisshunt/components/control/__init__.py
@@ -113,7 +113,7 @@
         LIST: records.list_records,
         HISTORY: records.list_history,
         WATCH: watches.watch,
-        ANNOUNCE: leases.announce,
+        ANNOUNCE: leases.handle_announce,
         REPORT: reports.record_report,
         STATUS: reports.get_status,
         **consensus.make_handlers(log),
--- a/ibisshunt/components/control/leases.py
+++ b/ibisshunt/components/control/leases.py
@@ -35,7 +35,7 @@
         self._is_leading = False
         self._tracked_revision = 0
 
-    def announce(self, request: AnnounceRequest, context: Any) -> AnnounceReply:
+    def handle_announce(self, request: AnnounceRequest, context: Any) -> AnnounceReply:
         """Admit a target or renew its lease."""
         self._host.require_leader(context)
         now = time.monotonic()
--- a/ibisshunt/components/control/reports.py
+++ b/ibisshunt/components/control/reports.py
@@ -26,7 +26,7 @@
 from .leases import LeaseHandler
 
 PEER_TIMEOUT_SECONDS: Final = 1.0
-# A node that was silent for this long was removed; a restarted node has a new name.
+# Nodes silent for this long are forgotten; a restarted node reports under a new name.
 REPORT_RETENTION_SECONDS: Final = 600.0
 
 
--- a/ibisshunt/components/forwarding/agent.py
+++ b/ibisshunt/components/forwarding/agent.py
@@ -41,8 +41,8 @@
 # Interval between statuses to balancers.
 STATUS_SECONDS = 0.4
 # Shortest interval between statuses when the requests in progress have changed by a
-# slot or more. The part per balancer bounds the statuses that all agents together send
-# to a balancer on a small machine.
+# slot or more. The interval grows with the number of balancers, to limit the total
+# status traffic on a small machine.
 MIN_STATUS_SECONDS = 0.08
 STATUS_SECONDS_PER_BALANCER = 0.008
 TICK_SECONDS = 0.04
@@ -79,7 +79,9 @@
         list_balancers: Callable[[], list[str]],
     ) -> None:
         if settings.outbound_address is None or settings.target is None:
-            raise ValueError("agent settings lack 'outward' or 'target', expected both")
+            raise ValueError(
+                "agent settings lack 'outbound' or 'target', expected both"
+            )
         if settings.packets is None:
             raise ValueError("agent settings lack 'packets', expected an address")
         now = read_monotonic_clock()
@@ -164,7 +166,10 @@
         self._internal_socket.send_all(self._list_balancers(), status)
 
     def send_initial_status(self, peer: str) -> None:
-        """Send a new balancer the status, and the flows from before any heartbeat."""
+        """Send a new balancer the status and the earliest flows.
+
+        Those are the flows that began before the first heartbeat.
+        """
         for message in self.agent.make_introduction(
             self._address, read_monotonic_clock()
         ):
--- a/ibisshunt/components/forwarding/balancer.py
+++ b/ibisshunt/components/forwarding/balancer.py
@@ -123,9 +123,9 @@
         """Forward until routers send no more packets, 5 s at most.
 
         Routers that have too few nodes send packets to this one although it is not
-        ready; a listener that closes then costs each caller 1.4 s.
+        ready. If the socket closed then, each caller would lose 1.4 s.
         """
-        self.send_flows_to_peers()
+        self.send_flow_locations()
         started_at = read_monotonic_clock()
         while (now := read_monotonic_clock()) < started_at + MAX_DRAIN_SECONDS:
             is_quiet = now >= self._last_packet_at + QUIET_PERIOD_SECONDS
@@ -133,7 +133,7 @@
                 return
             gevent.sleep(QUIET_PERIOD_SECONDS / 4)
 
-    def send_flows_to_peers(self) -> None:
+    def send_flow_locations(self) -> None:
         """Send the locations of all flows to the balancers that take over.
 
         Each would otherwise have to query every agent for every flow, at the moment
@@ -176,8 +176,8 @@
     def _handle_status(self, peer: str, status: Status) -> None:
         now = read_monotonic_clock()
         self.balancer.handle_status(peer, status, now)
-        # A status that reports a queue frees no slot for queued SYNs; the next tick
-        # retries them.
+        # If the target has more requests than slots, no SYN can be sent; the next tick
+        # retries the queued ones.
         if self.balancer.state.pending_syns and status.active_requests <= status.slots:
             self._execute(self.balancer.retry_pending(now))
 
--- a/ibisshunt/components/requests/__init__.py
+++ b/ibisshunt/components/requests/__init__.py
@@ -62,7 +62,7 @@
         self._applied_incarnation = 0
         self._tasks = [
             kernel.spawn("requests_tick", self._run_ticks),
-            kernel.spawn("requests_views", self.ledger_service.open_views),
+            kernel.spawn("requests_views", self.ledger_service.run_view_changes),
         ]
 
     def update_configuration(self, configuration: Configuration) -> None:
@@ -147,7 +147,7 @@
             warn_event("requests_cut", count=self._count_active())
         replication_deadline = time.monotonic() + REPLICATION_TIMEOUT_SECONDS
         while (
-            not self.ledger_service.is_replicated()
+            not self.ledger_service.is_safe_to_leave()
             and time.monotonic() < replication_deadline
         ):
             gevent.sleep(STOP_POLL_SECONDS)
--- a/ibisshunt/components/requests/ledger_service.py
+++ b/ibisshunt/components/requests/ledger_service.py
@@ -12,12 +12,12 @@
     Attempt,
     Claim,
     ClaimReply,
+    ClaimStatus,
     Fetch,
     FetchReply,
     RecordState,
     Settle,
     StoredResponse,
-    Verdict,
 )
 from ...coordination.requests.replica import LedgerReplica
 from ...coordination.requests.views import EMPTY_VIEW, Member, find_replicas, make_view
@@ -73,7 +73,7 @@
         self._replica.change_view(make_view(revision, members), self._clock())
         self._view_changed.set()
 
-    def open_views(self) -> None:
+    def run_view_changes(self) -> None:
         """Fetch the records of this agent's keys after each change of the members."""
         while True:
             self._view_changed.wait(timeout=1.0)
@@ -117,7 +117,7 @@
     def handle_claim(self, claim: Claim) -> ClaimReply:
         """Answer a claim."""
         if self._replica is None:
-            return ClaimReply(Verdict.CLOSED)
+            return ClaimReply(ClaimStatus.CLOSED)
         return self._replica.claim(claim, self._clock())
 
     def handle_settle(self, settle: Settle) -> None:
@@ -138,7 +138,7 @@
             self._last_served_view = fetch.view
         return reply
 
-    def is_replicated(self) -> bool:
+    def is_safe_to_leave(self) -> bool:
         """Return whether the remaining agents have fetched all outcomes stored here."""
         if self._replica is None or not len(self._replica.ledger):
             return True
--- a/ibisshunt/components/requests/peers.py
+++ b/ibisshunt/components/requests/peers.py
@@ -9,10 +9,10 @@
 from ...coordination.requests.messages import (
     Claim,
     ClaimReply,
+    ClaimStatus,
     Fetch,
     FetchReply,
     Settle,
-    Verdict,
 )
 from ...exceptions import RpcError
 from ...helpers.logging import warn_event
@@ -74,7 +74,7 @@
         call = ClaimCall(self._make_envelope(replica), claim)
         reply = self._call(replica, CLAIM, call)
         if reply is None:
-            return ClaimReply(Verdict.UNREACHABLE)
+            return ClaimReply(ClaimStatus.UNREACHABLE)
         return reply.reply
 
     def settle(self, replica: int, settle: Settle) -> bool:
--- a/ibisshunt/coordination/consensus/dispatch.py
+++ b/ibisshunt/coordination/consensus/dispatch.py
@@ -36,7 +36,6 @@
 from .reads import on_read_reply, on_read_request, request_read
 from .replication import (
     advance_commit,
-    check_transfer,
     get_quorum_contact_time,
     on_append_reply,
     on_append_request,
@@ -45,6 +44,7 @@
     record_acknowledged_round,
     send_commit_index,
     send_pending,
+    send_timeout_now_if_caught_up,
     start_round,
 )
 from .snapshot import compact, on_snapshot_chunk, on_snapshot_reply
@@ -99,7 +99,7 @@
         state.transfer_target = ""
     if now >= state.heartbeat_deadline:
         start_round(state, now)
-        check_transfer(state)
+        send_timeout_now_if_caught_up(state)
     send_commit_index(state, now)
     advance_membership(state, now)
 
@@ -123,7 +123,7 @@
         return
     state.transfer_target = max(eligible)[1]
     state.transfer_deadline = now + state.settings.election_seconds
-    check_transfer(state)
+    send_timeout_now_if_caught_up(state)
 
 
 def _receive(state: HostState, envelope: Envelope, now: float) -> None:
--- a/ibisshunt/coordination/consensus/replication.py
+++ b/ibisshunt/coordination/consensus/replication.py
@@ -4,7 +4,7 @@
 from .membership import count_quorum, is_voter, list_voters
 from .messages import AppendReply, AppendRequest, Entry, EntryKind, TransferNow
 from .reads import assign_read_round, confirm_reads
-from .snapshot import resend_unanswered_chunk, start_snapshot
+from .snapshot import resend_unanswered_chunk, start_install_snapshot
 from .state import (
     Appended,
     HostState,
@@ -18,7 +18,8 @@
     send_after_sync,
 )
 
-# Heartbeat rounds whose send time is kept: an older one cannot prove recent contact.
+# How many heartbeat rounds keep their send time; older ones are too old for the quorum
+# check.
 MAX_TRACKED_ROUNDS = 256
 
 
@@ -114,7 +115,7 @@
         suggested = min(progress.next_index, message.match + 1, message.previous_index)
         progress.next_index = max(progress.match_index + 1, suggested)
         progress.inflight_entries = 0
-    check_transfer(state)
+    send_timeout_now_if_caught_up(state)
 
 
 def record_acknowledged_round(
@@ -135,7 +136,7 @@
     state.synced_index = max(state.synced_index, event.index)
     if state.role is Role.LEADER:
         advance_commit(state, now)
-        check_transfer(state)
+        send_timeout_now_if_caught_up(state)
 
 
 def advance_commit(state: HostState, now: float) -> None:
@@ -152,7 +153,7 @@
         become_follower(state, state.term, "", now)
 
 
-def check_transfer(state: HostState) -> None:
+def send_timeout_now_if_caught_up(state: HostState) -> None:
     """Ask the transfer target to start an election once its log is complete."""
     progress = state.progress.get(state.transfer_target)
     if progress is None or progress.match_index < state.log.last_index:
@@ -189,7 +190,7 @@
         resend_unanswered_chunk(state, host, progress, now)
         return
     if progress.next_index <= state.log.base.index:
-        start_snapshot(state, host, progress, now)
+        start_install_snapshot(state, host, progress, now)
         return
     settings = state.settings
     while progress.inflight_entries < settings.max_inflight_entries:
--- a/ibisshunt/coordination/consensus/snapshot.py
+++ b/ibisshunt/coordination/consensus/snapshot.py
@@ -29,7 +29,9 @@
     return index
 
 
-def start_snapshot(state: HostState, host: str, progress: Progress, now: float) -> None:
+def start_install_snapshot(
+    state: HostState, host: str, progress: Progress, now: float
+) -> None:
     """Start sending the newest snapshot."""
     progress.snapshot = state.snapshot
     progress.snapshot_offset = 0
--- a/ibisshunt/coordination/flows/new_flows.py
+++ b/ibisshunt/coordination/flows/new_flows.py
@@ -23,28 +23,29 @@
     if header.flags & OWNER_QUERY:
         return _forward_query(state, packet)
     if header.flags & REDIRECTED:
-        return _accept_redirected(state, packet)
+        return _accept_or_redirect_again(state, packet)
     if header.flags & NO_OTHER_OWNER and header.origin == state.incarnation:
         return _accept_or_redirect(state, packet)
     choices = state.list_choices(packet.key)
     first = choices[0] if choices else None
     if first is None or first.incarnation == state.incarnation:
-        return _open_as_first(state, packet)
+        return _open_as_first_choice(state, packet)
     if first.incarnation not in header.visited:
         return state.forward_to(packet, first, header.flags)
-    # The first choice by this table has forwarded it here: the tables differ.
+    # The first choice of this table has already forwarded it here, so its table
+    # differs.
     if not state.accepts_new_flows():
-        return _accept_redirected(state, packet)
-    return _query_owner(state, packet)
+        return _accept_or_redirect_again(state, packet)
+    return _query_for_owner(state, packet)
 
 
-def _open_as_first(state: OwnerState, packet: IncomingPacket) -> Action:
+def _open_as_first_choice(state: OwnerState, packet: IncomingPacket) -> Action:
     if not state.was_recently_moved(packet.key, packet.now):
         return _accept_or_redirect(state, packet)
-    return _query_owner(state, packet)
+    return _query_for_owner(state, packet)
 
 
-def _query_owner(state: OwnerState, packet: IncomingPacket) -> Action:
+def _query_for_owner(state: OwnerState, packet: IncomingPacket) -> Action:
     """Ask the other agents whether one of them owns the flow, before accepting it."""
     deadline = state.query_deadlines.find(packet.key)
     if deadline is not None and packet.now >= deadline:
@@ -105,7 +106,7 @@
     return state.loads.is_less_loaded(compute_load(state), peer.incarnation, now)
 
 
-def _accept_redirected(state: OwnerState, packet: IncomingPacket) -> Action:
+def _accept_or_redirect_again(state: OwnerState, packet: IncomingPacket) -> Action:
     """Accept a redirected flow, or redirect it to the next target that may."""
     if state.accepts_new_flows() and state.flows.has_room():
         return state.accept_flow(packet)
--- a/ibisshunt/coordination/forwarding/failure_detection/suspect_pinger.py
+++ b/ibisshunt/coordination/forwarding/failure_detection/suspect_pinger.py
@@ -56,7 +56,7 @@
     reference_answered_at: float = float("inf")
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class SuspicionResult(msgspec.Struct, frozen=True):
     """Result of a suspicion: the agent is unresponsive, or nothing was proved."""
 
     address: str
@@ -126,10 +126,10 @@
         message = Ping(self._sequence)
         return [(peer, message) for peer in receivers]
 
-    def pop_verdicts(self, now: float) -> list[Verdict]:
+    def pop_verdicts(self, now: float) -> list[SuspicionResult]:
         """Return the suspicions that end now, and remove them."""
         verdicts = [
-            Verdict(address, self._is_unresponsive(address, now))
+            SuspicionResult(address, self._is_unresponsive(address, now))
             for address, suspicion in self._suspicions.items()
             if self._is_unresponsive(address, now)
             or now >= suspicion.expires_at + ANSWER_MARGIN_SECONDS
--- a/ibisshunt/coordination/forwarding/search/manager.py
+++ b/ibisshunt/coordination/forwarding/search/manager.py
@@ -16,7 +16,7 @@
 from ..routes import compute_service_tag
 from ..segment import Segment
 from ..state import BalancerState
-from .search import CAUSE_UNKNOWN_FLOW, Search, SearchCause, start_search
+from .search import CAUSE_UNKNOWN_FLOW, FlowSearch, SearchCause, start_search
 
 # How long the balancers of the same failure domain have to answer before agents are
 # queried.
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, state: BalancerState, now: float) -> None:
-        self._searches: dict[bytes, Search] = {}
+        self._searches: dict[bytes, FlowSearch] = {}
         self._state = state
         self._target_table = state.target_table
         self._counters = state.counters
@@ -135,23 +135,25 @@
                 actions += self._advance_search(key, search, now)
         return actions
 
-    def _advance_search(self, key: bytes, search: Search, now: float) -> list[Action]:
+    def _advance_search(
+        self, key: bytes, search: FlowSearch, now: float
+    ) -> list[Action]:
         actions = self._decide(key, search, now)
         search.schedule_check(now, PROBE_TIMEOUT_SECONDS)
         return actions
 
-    def _decide(self, key: bytes, search: Search, now: float) -> list[Action]:
+    def _decide(self, key: bytes, search: FlowSearch, now: float) -> list[Action]:
         holder = search.find_holder(now, PROBE_TIMEOUT_SECONDS)
         if holder:
             return self._finish(key, search, holder, now)
-        if queried := search.start_query(now):
+        if queried := search.next_query_batch(now):
             return self._query(search, queried, now)
         is_learning = self._target_table.is_learning(now)
         is_waiting = is_learning or search.awaits_answers(
             self._target_table.targets, now
         )
         if not is_waiting and (
-            probe_groups := search.start_probe(now, PROBE_TIMEOUT_SECONDS)
+            probe_groups := search.next_probe_batch(now, PROBE_TIMEOUT_SECONDS)
         ):
             return self._probe(search, probe_groups, now)
         if is_waiting or search.has_undecided():
@@ -169,7 +171,7 @@
         )
         return [ResetFlow(search.last_segment, "held_by_nobody")]
 
-    def _give_up(self, key: bytes, search: Search, now: float) -> None:
+    def _give_up(self, key: bytes, search: FlowSearch, now: float) -> None:
         """End a search without proof; the flow stays at its expected target.
 
         If it were dropped, the caller's next packet would start another search.
@@ -189,7 +191,7 @@
             self._state.record_found_flow(search.last_segment, target, now)
 
     def _query(
-        self, search: Search, queried: tuple[str, ...], now: float
+        self, search: FlowSearch, queried: tuple[str, ...], now: float
     ) -> list[Action]:
         """Query agents, or let them probe at once.
 
@@ -217,7 +219,7 @@
         )
 
     def _probe(
-        self, search: Search, probe_groups: dict[int, tuple[str, ...]], now: float
+        self, search: FlowSearch, probe_groups: dict[int, tuple[str, ...]], now: float
     ) -> list[Action]:
         packet = search.queued[0].packet
         actions: list[Action] = []
@@ -227,7 +229,7 @@
 
     def _relay_query(
         self,
-        search: Search,
+        search: FlowSearch,
         addresses: tuple[str, ...],
         query: FlowQuery | Probe,
         now: float,
@@ -258,7 +260,7 @@
         return next((target for target in targets if target.can_relay(now)), candidate)
 
     def _finish(
-        self, key: bytes, search: Search, holder: str, now: float
+        self, key: bytes, search: FlowSearch, holder: str, now: float
     ) -> list[Action]:
         target = self._target_table.targets.get(holder)
         if target is None:
--- a/ibisshunt/coordination/forwarding/search/search.py
+++ b/ibisshunt/coordination/forwarding/search/search.py
@@ -13,8 +13,8 @@
 
 # Packets of one flow that are queued during a search: what one end has in flight.
 MAX_QUEUED_PACKETS = 16
-# Probes of a flow before the first target that did not bounce one is taken for the
-# holder: three datagrams in a row are not lost on any link that still works.
+# After this many probes, the first target that bounced none is taken as the holder:
+# three datagrams in a row are not lost on any link that still works.
 MAX_PROBES = 3
 # Delay before agents that have not answered are queried again. It doubles each time, so
 # that queries about many flows leave room for their answers on a low-bandwidth link.
@@ -52,7 +52,7 @@
 CAUSE_UNKNOWN_FLOW = SearchCause()
 
 
-class Search(msgspec.Struct):
+class FlowSearch(msgspec.Struct):
     """One search for a flow's holder: its queued packets and the agents' answers.
 
     A flow that is only suspected to be stale has no packet: its agents are queried, but
@@ -60,9 +60,9 @@
 
     ``service_tags`` gives the service tag of each queried agent by address;
     ``unanswered_rounds`` the agents queried in each round that has not been answered
-    yet; ``pending_agents`` are those that have not answered, or had no heartbeat of
-    their target. No agent is queried before ``query_not_before``, while peers may
-    answer. ``next_check_at`` is when to check the search again without a new answer.
+    yet; ``pending_agents`` are queried again: they have not answered yet, or answered
+    UNHEARD. Until ``query_not_before`` only the other balancers are asked.
+    ``next_check_at`` is when to check the search again without a new answer.
     ``may_retry`` tells that the caller may send its request again on another flow, so
     that it need not wait for silent agents. Times are in seconds.
     """
@@ -155,12 +155,12 @@
             return candidates[0]
         return None
 
-    def start_probe(
+    def next_probe_batch(
         self, now: float, probe_timeout: float
     ) -> dict[int, tuple[str, ...]]:
         """Return the agents to send the first packet to, by service tag.
 
-        Used when agents started later than the flow may have, so only the targets
+        Used when an agent may have started after the flow did, so only the targets
         themselves can tell. A target that does not hold the flow bounces the packet; at
         most one target keeps it. Call it only after all agents that may hold the flow
         have answered: packets that reach many other targets while the right one
@@ -192,7 +192,7 @@
             if answer in (Answer.MAYBE, Answer.UNHEARD)
         ]
 
-    def start_query(self, now: float) -> tuple[str, ...]:
+    def next_query_batch(self, now: float) -> tuple[str, ...]:
         """Return the agents to query now; empty until the next query is due."""
         query_at = max(self.query_not_before, self.queried_at + self.retry_interval)
         if not self.pending_agents or now < query_at:
@@ -276,7 +276,7 @@
     now: float,
     may_retry: bool = False,
     cause: SearchCause = CAUSE_UNKNOWN_FLOW,
-) -> Search:
+) -> FlowSearch:
     """Return a search among the targets without the ``excluded`` addresses."""
     service_tags = {
         target.address: compute_service_tag(target.status.service)
@@ -285,4 +285,6 @@
     }
     answers = dict.fromkeys(excluded, int(Answer.NOT_HELD))
     queued = [segment] if segment.packet else []
-    return Search(segment, service_tags, now, may_retry, queued, answers, cause=cause)
+    return FlowSearch(
+        segment, service_tags, now, may_retry, queued, answers, cause=cause
+    )
--- a/ibisshunt/coordination/requests/claims.py
+++ b/ibisshunt/coordination/requests/claims.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 from typing import Final
 
-from .messages import Attempt, Claim, ClaimReply, StoredResponse, Verdict
+from .messages import Attempt, Claim, ClaimReply, ClaimStatus, StoredResponse
 from .views import ReplicaPair, View, find_replicas
 
 # How long an attempt waits for replicas that do not answer or have not opened yet.
@@ -103,29 +103,29 @@
 
     def handle_reply(self, reply: ClaimReply, now: float) -> ClaimStep:
         """Return the next step after a replica's reply."""
-        if reply.verdict in (Verdict.GRANTED, Verdict.FULL):
+        if reply.verdict in (ClaimStatus.GRANTED, ClaimStatus.FULL):
             return self._count_reply(reply.verdict)
-        if reply.verdict == Verdict.DONE:
+        if reply.verdict == ClaimStatus.DONE:
             return self._finish(ClaimOutcome.REPLAY, "done before", reply.answer)
-        if reply.verdict == Verdict.UNKNOWN:
+        if reply.verdict == ClaimStatus.UNKNOWN:
             return self._finish(ClaimOutcome.UNKNOWN, "an earlier attempt may have run")
-        if reply.verdict == Verdict.MISMATCH:
+        if reply.verdict == ClaimStatus.MISMATCH:
             return self._finish(
                 ClaimOutcome.MISMATCH, "key was used for another request"
             )
-        if reply.verdict == Verdict.RELEASED:
+        if reply.verdict == ClaimStatus.RELEASED:
             return self._finish(ClaimOutcome.UNKNOWN, "attempt was given up")
         return self._back_off(reply.verdict, now)
 
-    def _count_reply(self, verdict: Verdict) -> ClaimStep:
+    def _count_reply(self, verdict: ClaimStatus) -> ClaimStep:
         self._reply_count += 1
-        self._is_ledger_full |= verdict == Verdict.FULL
+        self._is_ledger_full |= verdict == ClaimStatus.FULL
         self._backoff = INITIAL_BACKOFF_SECONDS
         if self._reply_count < 2:
             return self._send_claim()
-        # "Not run" needs both replicas to say that they have never seen the key. A
-        # single one may have been replaced without knowing it, and the key may have
-        # run under a newer view whose records came from the other replica.
+        # "Not run" needs both replicas to say that they have never seen the key. One
+        # replica may be out of date: the key may have run under a view that it missed,
+        # whose records came from the other replica.
         if self._is_ledger_full:
             return self._finish(ClaimOutcome.NOT_RUN, "holders are full")
         return ClaimResult(ClaimOutcome.GRANTED, "")
@@ -137,11 +137,11 @@
         claim = Claim(self.key, self.attempt, self.fingerprint, self._view.digest)
         return SendClaim(member.incarnation, claim)
 
-    def _back_off(self, verdict: Verdict, now: float) -> ClaimStep:
+    def _back_off(self, verdict: ClaimStatus, now: float) -> ClaimStep:
         # An attempt that has claimed the key may be running: wait for its response. A
         # replica that does not answer or has not opened gets less time; the caller may
         # then retry.
-        is_claimed = verdict == Verdict.HELD
+        is_claimed = verdict == ClaimStatus.HELD
         deadline = self._deadline if is_claimed else self._unavailable_deadline
         if now >= deadline:
             return self._finish(ClaimOutcome.UNKNOWN, f"holder answered {verdict}")
--- a/ibisshunt/coordination/requests/ledger.py
+++ b/ibisshunt/coordination/requests/ledger.py
@@ -9,11 +9,11 @@
     Attempt,
     Claim,
     ClaimReply,
+    ClaimStatus,
     LedgerRecord,
     RecordState,
     Settle,
     StoredResponse,
-    Verdict,
 )
 
 # Bytes of a record without its response; see measurements/requests_ledger.py.
@@ -65,18 +65,18 @@
         """Reserve the key for an attempt; the verdict says why it was not granted."""
         existing = self._records.get(claim.key)
         if existing is None and self._bytes + RECORD_BYTES > self._max_bytes:
-            return ClaimReply(Verdict.FULL)
+            return ClaimReply(ClaimStatus.FULL)
         if existing is None:
             self._store(self._make_record(claim, RecordState.CLAIMED, now))
-            return ClaimReply(Verdict.GRANTED)
+            return ClaimReply(ClaimStatus.GRANTED)
         # A delayed claim must not reserve the key for an attempt that was abandoned:
         # retries would wait for that attempt in vain.
         if claim.attempt in existing.released:
-            return ClaimReply(Verdict.RELEASED)
+            return ClaimReply(ClaimStatus.RELEASED)
         if existing.attempt is None:
             return self._grant_free_key(existing, claim, now)
         if existing.fingerprint != claim.fingerprint:
-            return ClaimReply(Verdict.MISMATCH)
+            return ClaimReply(ClaimStatus.MISMATCH)
         return _make_claim_reply(existing, claim.attempt)
 
     def _grant_free_key(
@@ -86,7 +86,7 @@
             existing = replace(existing, released=existing.released[1:])
         record = self._make_record(claim, RecordState.CLAIMED, now)
         self._store(replace(record, released=existing.released))
-        return ClaimReply(Verdict.GRANTED)
+        return ClaimReply(ClaimStatus.GRANTED)
 
     def settle(self, settle: Settle, now: float) -> None:
         """Store the outcome of an attempt."""
@@ -207,9 +207,9 @@
 
 def _make_claim_reply(existing: LedgerRecord, attempt: Attempt) -> ClaimReply:
     if existing.state == RecordState.DONE:
-        return ClaimReply(Verdict.DONE, existing.answer)
+        return ClaimReply(ClaimStatus.DONE, existing.answer)
     if existing.state == RecordState.UNKNOWN:
-        return ClaimReply(Verdict.UNKNOWN)
+        return ClaimReply(ClaimStatus.UNKNOWN)
     if existing.attempt == attempt:
-        return ClaimReply(Verdict.GRANTED)
-    return ClaimReply(Verdict.HELD)
+        return ClaimReply(ClaimStatus.GRANTED)
+    return ClaimReply(ClaimStatus.HELD)
--- a/ibisshunt/coordination/requests/messages.py
+++ b/ibisshunt/coordination/requests/messages.py
@@ -41,7 +41,7 @@
     DONE = "done"
 
 
-class Verdict(StrEnum):
+class ClaimStatus(StrEnum):
     """Reply of a replica to a claim."""
 
     GRANTED = "granted"
@@ -72,7 +72,7 @@
 class ClaimReply:
     """Reply to a claim; ``answer`` is the stored response of a key that is done."""
 
-    verdict: Verdict
+    verdict: ClaimStatus
     answer: StoredResponse | None = None
 
 
--- a/ibisshunt/coordination/requests/replica.py
+++ b/ibisshunt/coordination/requests/replica.py
@@ -8,13 +8,13 @@
 from .messages import (
     Claim,
     ClaimReply,
+    ClaimStatus,
     Fetch,
     FetchReply,
     LedgerRecord,
     PastView,
     RecordState,
     Settle,
-    Verdict,
 )
 from .views import EMPTY_VIEW, View, count_domains, find_replicas
 
@@ -39,8 +39,8 @@
     A claim counts once both replicas have granted it under the same view. So each of
     them knows every started attempt, and a new view may open when the members of the
     older views have sealed those views and sent their records. Members of older views
-    that cannot be reached are listed: a key with both replicas among them is answered
-    "unknown" until the retention time has passed.
+    that cannot be reached are recorded as missing; if both replicas of a key are
+    missing, the answer is "unknown" until the retention time ends.
     """
 
     def __init__(self, incarnation: int, ledger: Ledger) -> None:
@@ -69,8 +69,8 @@
         self._close()
 
     def _keep_view(self, view: View) -> None:
-        # An open view keeps its first revision: it shows whether this agent has missed
-        # a view that others opened in between.
+        # The revision at which the view opened is kept; a higher one from a peer means
+        # that this agent missed a view that others opened in between.
         if not self.is_open:
             self.view = view
             self._close()
@@ -144,7 +144,7 @@
                     UNKNOWN_HISTORY_VIEW, (), now + self.ledger.retention, settled=True
                 )
             )
-        self._settle_past_views(now)
+        self._finalize_past_views(now)
         self._knows_history = True
         self.is_open = True
         return True
@@ -152,12 +152,12 @@
     def claim(self, claim: Claim, now: float) -> ClaimReply:
         """Answer a claim; refuse it while the view is not open."""
         if not self.is_open or claim.digest != self.view.digest:
-            return ClaimReply(Verdict.CLOSED)
+            return ClaimReply(ClaimStatus.CLOSED)
         self.ledger.expire(now)
         existing = self.ledger.find(claim.key)
         is_done = existing is not None and existing.state == RecordState.DONE
         if not is_done and self._may_have_lost(claim.key, now):
-            return ClaimReply(Verdict.UNKNOWN)
+            return ClaimReply(ClaimStatus.UNKNOWN)
         return self.ledger.claim(claim, now)
 
     def settle(self, settle: Settle, now: float) -> None:
@@ -183,7 +183,9 @@
         page: list[LedgerRecord] = []
         size = 0
         for record in self.ledger:
-            if record.key <= fetch.after or not _is_replica_of(record.key, fetch):
+            if record.key <= fetch.after or not _requester_replicates(
+                record.key, fetch
+            ):
                 continue
             if len(page) >= MAX_PAGE_RECORDS or size > MAX_PAGE_BYTES:
                 return tuple(page), True
@@ -236,7 +238,7 @@
         views = [self.view, *unsettled]
         return {member.incarnation for view in views for member in view.members}
 
-    def _settle_past_views(self, now: float) -> None:
+    def _finalize_past_views(self, now: float) -> None:
         """Keep only the past views with records that could not be fetched.
 
         A view whose missing members are in one failure domain has lost nothing: the
@@ -245,7 +247,7 @@
         unrecovered = {}
         for digest, past in self._past_views.items():
             settled = past if past.settled else self._settle_view(past)
-            if past.deadline > now and _spans_domains(settled):
+            if past.deadline > now and _lost_members_span_domains(settled):
                 unrecovered[digest] = settled
         self._past_views = unrecovered
 
@@ -262,7 +264,7 @@
         )
 
 
-def _spans_domains(past: PastView) -> bool:
+def _lost_members_span_domains(past: PastView) -> bool:
     if past.view.digest == UNKNOWN_HISTORY_VIEW.digest:
         return True
     missing = set(past.missing)
@@ -280,7 +282,7 @@
     return replicas <= set(past.missing)
 
 
-def _is_replica_of(key: bytes, fetch: Fetch) -> bool:
+def _requester_replicates(key: bytes, fetch: Fetch) -> bool:
     pair = find_replicas(fetch.view, key)
     return pair is not None and pair.includes(fetch.incarnation)
 
--- a/ibisshunt/coordination/versions/__init__.py
+++ b/ibisshunt/coordination/versions/__init__.py
@@ -1,12 +1,12 @@
 """Replicated state of a fleet: configuration version and drained failure domains."""
 
-from .domains import DomainOutcome, DomainStore, decode_domain_outcome
+from .domains import DomainOutcome, DrainedDomainStore, decode_domain_outcome
 from .state import FleetState, encode_domain_command
 from .store import PutOutcome, PutVersion, VersionStore, decode_put_outcome, encode_put
 
 __all__ = [
     "DomainOutcome",
-    "DomainStore",
+    "DrainedDomainStore",
     "FleetState",
     "PutOutcome",
     "PutVersion",
--- a/ibisshunt/coordination/versions/domains.py
+++ b/ibisshunt/coordination/versions/domains.py
@@ -38,7 +38,7 @@
 _INITIAL_STATE = _DomainState()
 
 
-class DomainStore:
+class DrainedDomainStore:
     """State and last change of each failure domain, on one control host.
 
     ``on_change`` is called after each change of the state; it must not block.
--- a/ibisshunt/coordination/versions/state.py
+++ b/ibisshunt/coordination/versions/state.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from .domains import DomainStore, encode_domain_change
+from .domains import DrainedDomainStore, encode_domain_change
 from .store import VersionStore
 
 # First byte of a domain change. No PutVersion command begins with it, since msgpack
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self.versions = VersionStore()
-        self.domains = DomainStore()
+        self.domains = DrainedDomainStore()
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one command and return its outcome."""
--- a/ibisshunt/platform/heartbeats.py
+++ b/ibisshunt/platform/heartbeats.py
@@ -47,7 +47,7 @@
 _DEREGISTER_DECODER = msgspec.json.Decoder(_DeregisterBody)
 
 
-def make_heartbeat_handler(task: AgentTask) -> RequestHandler:
+def make_instance_handler(task: AgentTask) -> RequestHandler:
     """Return the handler of the heartbeats and leave messages of the local target.
 
     A malformed message, or one of another program, is rejected and changes nothing: if
--- a/ibisshunt/platform/programs.py
+++ b/ibisshunt/platform/programs.py
@@ -123,7 +123,7 @@
     """Start an agent."""
     from ..components.forwarding.agent import AgentTask
     from ..components.web.minimal_server import MinimalHttpServer
-    from .heartbeats import make_heartbeat_handler
+    from .heartbeats import make_instance_handler
 
     internal_socket = InternalSocket(settings.internal_address)
     directory: NodeDirectory
@@ -156,7 +156,7 @@
     kernel.spawn("status", task.run_status)
     kernel.spawn("gathering", task.run_aggregation)
     kernel.register("directory", directory, dump=directory.dump)
-    server = MinimalHttpServer(settings.control, make_heartbeat_handler(task))
+    server = MinimalHttpServer(settings.control, make_instance_handler(task))
     server.start()
 
     def unload() -> None:
--- a/ibisshunt/protocol/preamble.py
+++ b/ibisshunt/protocol/preamble.py
@@ -21,7 +21,7 @@
 VERDICT_BYTES: Final = 1
 
 
-class Verdict(IntEnum):
+class PreambleStatus(IntEnum):
     """Reply of an agent to a preamble.
 
     The balancer relays none of the caller's bytes before it receives TAKEN.
@@ -66,19 +66,19 @@
     return decode(body, Preamble)
 
 
-def send_verdict(connection: socket.socket, verdict: Verdict) -> None:
+def send_verdict(connection: socket.socket, verdict: PreambleStatus) -> None:
     """Send a verdict; raise OSError if the connection breaks."""
     connection.sendall(bytes([verdict]))
 
 
 def receive_verdict(
     connection: socket.socket, timeout: float
-) -> Result[Verdict, Fault]:
+) -> Result[PreambleStatus, Fault]:
     """Receive a verdict; fail if it does not arrive within ``timeout`` seconds."""
     step = "receive verdict"
     try:
         with gevent.Timeout(timeout, TimeoutError("no verdict within the timeout")):
-            return Success(Verdict(_receive(connection, VERDICT_BYTES)[0]))
+            return Success(PreambleStatus(_receive(connection, VERDICT_BYTES)[0]))
     except (OSError, EOFError, ValueError) as error:
         return Failure(Fault(step, "", str(error)))
 
--- a/measurements/control.py
+++ b/measurements/control.py
@@ -361,7 +361,7 @@
     both_ends = (time.process_time() - start) / 500
     start = time.process_time()
     for _ in range(500):
-        service.control.leases.announce(request, None)
+        service.control.leases.handle_announce(request, None)
     handler = (time.process_time() - start) / 500
     service.stop()
     return {
--- a/tests/components/control/test_handlers.py
+++ b/tests/components/control/test_handlers.py
@@ -62,7 +62,7 @@
 
     def announce(self, leaving=False):
         request = AnnounceRequest(ANNOUNCEMENT, leaving)
-        return self.leases.announce(request, FakeContext())
+        return self.leases.handle_announce(request, FakeContext())
 
 
 def test_a_new_node_gets_nothing_from_a_partitioned_host():
--- a/tests/components/test_streams.py
+++ b/tests/components/test_streams.py
@@ -14,7 +14,7 @@
 from ibisshunt.model.target import TargetState
 from ibisshunt.protocol.preamble import (
     Preamble,
-    Verdict,
+    PreambleStatus,
     receive_verdict,
     send_preamble,
 )
@@ -251,5 +251,5 @@
     preamble = Preamble(system.service.number, 1, 1, Address("not an address", 1))
     with socket.create_connection(agent.address.as_pair()) as client:
         send_preamble(client, preamble)
-        assert receive_verdict(client, 5).unwrap() == Verdict.MALFORMED
+        assert receive_verdict(client, 5).unwrap() == PreambleStatus.MALFORMED
     assert system.ask() == b"t0:hello"
--- a/tests/coordination/forwarding/search/test_aggregation.py
+++ b/tests/coordination/forwarding/search/test_aggregation.py
@@ -21,7 +21,7 @@
     AnswerAggregator,
 )
 from ibisshunt.coordination.forwarding.search.manager import PROBE_TIMEOUT_SECONDS
-from ibisshunt.coordination.forwarding.search.search import Search
+from ibisshunt.coordination.forwarding.search.search import FlowSearch
 from tests.forwarding_world import World, data_segment, make_key
 
 KEY = make_key()
@@ -38,7 +38,7 @@
 
 def collect_answers(sent, queried=AGENTS, round_id=1):
     """Return the answers that a balancer has recorded after these messages."""
-    search = Search(data_segment(KEY, 1), dict.fromkeys(queried, 0), 0.0)
+    search = FlowSearch(data_segment(KEY, 1), dict.fromkeys(queried, 0), 0.0)
     search.unanswered_rounds[round_id] = tuple(queried)
     for action in sent:
         assert action.peer == BALANCER
@@ -140,7 +140,7 @@
 def test_the_default_answer_of_a_round_applies_only_to_its_agents():
     # Guards against the reset of an open flow: an agent becomes known while others are
     # queried, and their default answer "not held" is applied to it too.
-    search = Search(data_segment(KEY, 1), dict.fromkeys(AGENTS[:2], 0), 0.0)
+    search = FlowSearch(data_segment(KEY, 1), dict.fromkeys(AGENTS[:2], 0), 0.0)
     search.unanswered_rounds[1] = AGENTS[:2]
     search.add_agent(AGENTS[2], "booking")
     search.record_aggregated(AggregatedAnswers(KEY, 1, Answer.NOT_HELD))
@@ -150,7 +150,7 @@
 def test_a_not_held_answer_is_final():
     # Guards against a wrong holder: a target bounces a probe, and its agent's earlier
     # answer MAYBE arrives after that.
-    search = Search(data_segment(KEY, 1), dict.fromkeys(AGENTS, 0), 0.0)
+    search = FlowSearch(data_segment(KEY, 1), dict.fromkeys(AGENTS, 0), 0.0)
     for answer in (Answer.NOT_HELD, Answer.MAYBE):
         search.record_aggregated(
             AggregatedAnswers(
@@ -164,10 +164,10 @@
 def test_a_search_is_checked_when_its_probe_times_out():
     # One target does not bounce its probe. It must be found as the holder when the
     # probe times out, not at the next regular check.
-    search = Search(data_segment(KEY, 1), dict.fromkeys(AGENTS, 0), 0.0)
+    search = FlowSearch(data_segment(KEY, 1), dict.fromkeys(AGENTS, 0), 0.0)
     for address in AGENTS:
         search.record_answer(address, Answer.MAYBE)
-    assert search.start_probe(0.0, PROBE_TIMEOUT_SECONDS)
+    assert search.next_probe_batch(0.0, PROBE_TIMEOUT_SECONDS)
     search.schedule_check(0.001, PROBE_TIMEOUT_SECONDS)
     assert search.next_check_at == PROBE_TIMEOUT_SECONDS
 
--- a/tests/coordination/forwarding/test_flows.py
+++ b/tests/coordination/forwarding/test_flows.py
@@ -792,7 +792,7 @@
     targets = list(world.balancers[FIRST].targets.values())
     search = start_search(data_segment(make_key(), 5), targets, frozenset(), 1.0)
     search.answers.update({target.address: Answer.MAYBE for target in targets})
-    assert search.start_probe(1.0, 0.03)
+    assert search.next_probe_batch(1.0, 0.03)
     assert search.find_holder(1.1, 0.03) is None
     search.answers[targets[0].address] = Answer.NOT_HELD
     assert search.find_holder(1.1, 0.03) == targets[1].address
--- a/tests/coordination/requests/ledger_cluster.py
+++ b/tests/coordination/requests/ledger_cluster.py
@@ -14,12 +14,12 @@
     Attempt,
     Claim,
     ClaimReply,
+    ClaimStatus,
     Fetch,
     FetchReply,
     RecordState,
     Settle,
     StoredResponse,
-    Verdict,
 )
 from ibisshunt.coordination.requests.replica import LedgerReplica
 from ibisshunt.coordination.requests.views import Member, View, find_replicas, make_view
@@ -309,7 +309,7 @@
             return
         if run.pending_call is not None and run.pending_call[1] <= self.now:
             run.pending_call = None
-            reply = ClaimReply(Verdict.UNREACHABLE)
+            reply = ClaimReply(ClaimStatus.UNREACHABLE)
             self._advance(node, attempt, run.claimant.handle_reply(reply, self.now))
         elif run.resume_at is not None and run.resume_at <= self.now:
             run.resume_at = None
--- a/tests/coordination/requests/test_handover.py
+++ b/tests/coordination/requests/test_handover.py
@@ -6,12 +6,12 @@
 from ibisshunt.coordination.requests.messages import (
     Attempt,
     Claim,
+    ClaimStatus,
     LedgerRecord,
     PastView,
     RecordState,
     Settle,
     StoredResponse,
-    Verdict,
 )
 from ibisshunt.coordination.requests.replica import LedgerReplica
 from ibisshunt.coordination.requests.views import Member, find_replicas, make_view
@@ -62,10 +62,10 @@
     replica = open_replica(1)
     newer = LedgerReplica(9, Ledger(600.0))
     newer.change_view(make_view(2, [*MEMBERS, Member(9, "t9", "d0")]), 0.0)
-    assert claim(replica, KEYS[0]) == Verdict.GRANTED
+    assert claim(replica, KEYS[0]) == ClaimStatus.GRANTED
     assert not replica.handle_fetch(newer.make_fetch(0.0), 0.0).refused
-    assert claim(replica, KEYS[1]) == Verdict.CLOSED
-    assert claim(replica, KEYS[0]) == Verdict.CLOSED
+    assert claim(replica, KEYS[1]) == ClaimStatus.CLOSED
+    assert claim(replica, KEYS[0]) == ClaimStatus.CLOSED
 
 
 def test_a_replica_that_missed_a_view_closes_and_fetches_again():
@@ -77,7 +77,7 @@
     other.change_view(between, 0.0)
     other.change_view(make_view(3, MEMBERS), 0.0)
     replica.handle_fetch(other.make_fetch(0.0), 0.0)
-    assert claim(replica, KEYS[0]) == Verdict.CLOSED
+    assert claim(replica, KEYS[0]) == ClaimStatus.CLOSED
     assert set(replica.list_sources()) == {2, 3, 4, 5}
 
 
@@ -87,7 +87,7 @@
     for member in MEMBERS:
         replica.mark_unreachable(member.incarnation)
     assert not replica.try_open(no_departures=True, now=0.0)
-    assert claim(replica, KEYS[0]) == Verdict.CLOSED
+    assert claim(replica, KEYS[0]) == ClaimStatus.CLOSED
 
 
 def test_conflicting_claims_from_independent_views_make_the_key_unknown():
@@ -110,12 +110,12 @@
     other.change_view(make_view(5, pair), 0.0)
     replica.handle_fetch_reply(other.handle_fetch(replica.make_fetch(0.0), 0.0), 0.0)
     assert replica.try_open(no_departures=False, now=0.0)
-    assert claim(replica, KEYS[0], now=599.0) == Verdict.UNKNOWN
+    assert claim(replica, KEYS[0], now=599.0) == ClaimStatus.UNKNOWN
     # A member that joins them learns that the history is unknown.
     other.handle_fetch_reply(replica.handle_fetch(other.make_fetch(1.0), 1.0), 1.0)
     assert other.try_open(no_departures=False, now=1.0)
-    assert claim(other, KEYS[0], now=598.0) == Verdict.UNKNOWN
-    assert claim(replica, KEYS[0], now=601.0) == Verdict.GRANTED
+    assert claim(other, KEYS[0], now=598.0) == ClaimStatus.UNKNOWN
+    assert claim(replica, KEYS[0], now=601.0) == ClaimStatus.GRANTED
 
 
 @pytest.mark.parametrize("dead", ["first", "second"])
@@ -194,16 +194,16 @@
 
 def test_a_key_of_another_request_is_refused():
     replica = open_replica(1)
-    assert claim(replica, KEYS[0]) == Verdict.GRANTED
+    assert claim(replica, KEYS[0]) == ClaimStatus.GRANTED
     other = Claim(KEYS[0], OTHER_ATTEMPT, b"different", replica.view.digest)
-    assert replica.claim(other, 1.0).verdict == Verdict.MISMATCH
+    assert replica.claim(other, 1.0).verdict == ClaimStatus.MISMATCH
 
 
 def test_a_delayed_claim_of_a_released_attempt_is_refused():
     replica = open_replica(1)
     replica.settle(Settle(KEYS[0], ATTEMPT, FINGERPRINT, RecordState.FREE), 1.0)
-    assert claim(replica, KEYS[0], ATTEMPT) == Verdict.RELEASED
-    assert claim(replica, KEYS[0], OTHER_ATTEMPT) == Verdict.GRANTED
+    assert claim(replica, KEYS[0], ATTEMPT) == ClaimStatus.RELEASED
+    assert claim(replica, KEYS[0], OTHER_ATTEMPT) == ClaimStatus.GRANTED
 
 
 def test_a_full_ledger_refuses_new_keys_and_drops_none():
@@ -212,13 +212,13 @@
         ledger.claim(Claim(key, Attempt(1, n), FINGERPRINT, 0), 0.0).verdict
         for n, key in enumerate(KEYS[:20])
     ]
-    assert verdicts.count(Verdict.GRANTED) == 10
-    assert verdicts[10:] == [Verdict.FULL] * 10
+    assert verdicts.count(ClaimStatus.GRANTED) == 10
+    assert verdicts[10:] == [ClaimStatus.FULL] * 10
     big = StoredResponse(200, "OK", (), b"x" * 20_000)
     settle = Settle(KEYS[0], Attempt(1, 0), FINGERPRINT, RecordState.DONE, big)
     ledger.settle(settle, 1.0)
     reply = ledger.claim(Claim(KEYS[0], OTHER_ATTEMPT, FINGERPRINT, 0), 2.0)
-    assert reply.verdict == Verdict.DONE
+    assert reply.verdict == ClaimStatus.DONE
     assert not reply.answer.kept
     ledger.expire(700.0)
     assert (len(ledger), ledger.used_bytes) == (0, 0)
@@ -250,8 +250,8 @@
     replica = open_replica(1)
     lost = PastView(make_view(0, MEMBERS), (1, 2, 3, 4, 5), 50.0, settled=True)
     replica._past_views[lost.view.digest] = lost
-    assert claim(replica, KEYS[0], now=49.0) == Verdict.UNKNOWN
-    assert claim(replica, KEYS[0], now=51.0) == Verdict.GRANTED
+    assert claim(replica, KEYS[0], now=49.0) == ClaimStatus.UNKNOWN
+    assert claim(replica, KEYS[0], now=51.0) == ClaimStatus.GRANTED
 
 
 def test_a_closed_replica_stores_the_response_of_a_finished_attempt():
--- a/tests/coordination/versions/test_domains.py
+++ b/tests/coordination/versions/test_domains.py
@@ -5,7 +5,7 @@
 from msgspec import msgpack
 
 from ibisshunt.coordination.versions import (
-    DomainStore,
+    DrainedDomainStore,
     FleetState,
     PutVersion,
     decode_domain_outcome,
@@ -26,7 +26,7 @@
 
 
 def test_a_duplicate_of_a_change_is_acknowledged_without_a_new_effect():
-    store = DomainStore()
+    store = DrainedDomainStore()
     first = apply(store, 5, "moin-a", True, 0)
     again = apply(store, 6, "moin-a", True, 0)
     assert (first.is_applied, first.changed) == (True, True)
@@ -37,7 +37,7 @@
 def test_a_late_duplicate_does_not_drain_a_domain_that_was_reopened_since():
     # A suspended host proposes a duplicate of the drain after the reopening was
     # committed.
-    store = DomainStore()
+    store = DrainedDomainStore()
     apply(store, 5, "moin-a", True, 0)
     apply(store, 6, "moin-a", False, 5)
     assert not apply(store, 7, "moin-a", True, 0).is_applied
@@ -46,7 +46,7 @@
 
 def test_a_late_duplicate_does_not_reopen_a_domain_that_was_drained_again():
     # The domain would get new flows although its second drain was acknowledged.
-    store = DomainStore()
+    store = DrainedDomainStore()
     apply(store, 5, "moin-a", True, 0)
     apply(store, 6, "moin-a", False, 5)
     apply(store, 7, "moin-a", True, 6)
@@ -55,7 +55,7 @@
 
 
 def test_changes_of_different_domains_are_independent():
-    store = DomainStore()
+    store = DrainedDomainStore()
     apply(store, 5, "moin-a", True, 0)
     assert apply(store, 6, "moin-b", True, 0).is_applied
     assert store.list_drained().domains == ("moin-a", "moin-b")
@@ -104,7 +104,7 @@
 
     def __init__(self):
         super().__init__()
-        self.store = DomainStore()
+        self.store = DrainedDomainStore()
         self.index = 0
         self.expected = {}
         # Calls that hosts have received and may still propose.
@@ -128,7 +128,7 @@
     @rule()
     def move_to_another_host(self):
         """Continue from a snapshot, as a host with an empty disk does."""
-        fresh = DomainStore()
+        fresh = DrainedDomainStore()
         fresh.restore(self.store.take_snapshot())
         self.store = fresh
 
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -10,7 +10,7 @@
 from ibisshunt.components.web import WebRequest
 from ibisshunt.coordination.forwarding.messages import TargetState
 from ibisshunt.model.address import Address
-from ibisshunt.platform.heartbeats import make_heartbeat_handler
+from ibisshunt.platform.heartbeats import make_instance_handler
 from ibisshunt.platform.packet import CODEC
 from tests.node_settings import ANY_PORT, make_settings
 
@@ -46,7 +46,7 @@
         outbound_address=ANY_PORT, target=Address("127.0.0.1", 9), service=SERVICE
     )
     task = AgentTask(settings, CODEC, FakeInternalSocket(), list)
-    handle = make_heartbeat_handler(task)
+    handle = make_instance_handler(task)
     assert handle(
         WebRequest("POST", HEARTBEAT_PATH, json.dumps(HEARTBEAT).encode())
     ).status[:3] == ("200")
