--- a/ibisshunt/components/consensus/driver.py
+++ b/ibisshunt/components/consensus/driver.py
@@ -151,7 +151,7 @@
         ]
 
     def _reject(self, rejection: Refused) -> None:
-        fault = NotAccepted("accept request", "", rejection.reason)
+        fault = NotAccepted("take request", "", rejection.reason)
         self._answer(rejection.request_id, Failure(fault))
         if (
             rejection.request_id == NO_REQUEST_ID
--- a/ibisshunt/components/consensus/replicated_log.py
+++ b/ibisshunt/components/consensus/replicated_log.py
@@ -164,7 +164,7 @@
             request_id = self._pending_requests.allocate()
             if not self._mailbox.send(Read(request_id)):
                 self._pending_requests.answer(
-                    request_id, _make_not_accepted("event queue is full")
+                    request_id, _make_not_accepted("too many events wait")
                 )
             result = self._pending_requests.wait(
                 request_id, min(remaining, READ_ATTEMPT_TIMEOUT_SECONDS)
@@ -308,13 +308,11 @@
 
     def _find_refusal_reason(self, command: bytes) -> str:
         if len(command) > MAX_COMMAND_BYTES:
-            return (
-                f"command is {len(command)} bytes, expected at most {MAX_COMMAND_BYTES}"
-            )
+            return f"{len(command)} bytes, at most {MAX_COMMAND_BYTES} are taken"
         if self._stopping:
             return "this host is stopping"
         if self._disk_space.is_low and self.is_leading():
-            return "the disk is nearly full; free up space on the control host"
+            return "the disk is nearly full; free space on the control host"
         return ""
 
     def _propose_once(self, command: bytes, deadline: float) -> Result[bytes, Fault]:
@@ -335,7 +333,7 @@
     ) -> Result[Any, Fault]:
         if not self._mailbox.send(event):
             self._pending_requests.answer(
-                request_id, _make_not_accepted("event queue is full")
+                request_id, _make_not_accepted("too many events wait")
             )
         result = self._pending_requests.wait(request_id, timeout)
         if result is not None:
--- a/ibisshunt/components/control/host.py
+++ b/ibisshunt/components/control/host.py
@@ -54,10 +54,10 @@
         return result.unwrap()
 
     def require_leader(self, context: Any) -> None:
-        """Abort the call if this host is not the leader."""
+        """Abort the call if this host does not lead."""
         if self.is_leader():
             return
-        fault = Fault("find leader", self.settings.name, "this host is not the leader")
+        fault = Fault("find leader", self.settings.name, "this host does not lead")
         fault_with_leader = add_leader_hint(fault, self.find_leader())
         context.abort(grpc.StatusCode.FAILED_PRECONDITION, str(fault_with_leader))
 
--- a/ibisshunt/components/control/leases.py
+++ b/ibisshunt/components/control/leases.py
@@ -126,7 +126,9 @@
         hold_down_seconds: float,
         now: float,
     ) -> AnnounceReply:
-        reason = f"state changed too often, held down for {hold_down_seconds:.1f} s"
+        reason = (
+            f"changed its state too often, is held back for {hold_down_seconds:.1f} s"
+        )
         warn_event("target_held_back", target=request.announcement.name, reason=reason)
         if not known_incarnation:
             return AnnounceReply(0, 0.0, reason)
--- a/ibisshunt/components/requests/dispatcher.py
+++ b/ibisshunt/components/requests/dispatcher.py
@@ -329,7 +329,7 @@
         """Refuse expired requests, start those that fit, and pull when idle."""
         now = self._clock()
         for attempt in self.admission.list_expired(now):
-            self._refuse_job(attempt, "deadline cannot be met any more")
+            self._refuse_job(attempt, "deadline can not be met any more")
         self._start_jobs()
         self._puller.pull_when_due(self.admission.queued)
 
--- a/ibisshunt/components/requests/http_server.py
+++ b/ibisshunt/components/requests/http_server.py
@@ -195,13 +195,13 @@
     try:
         body = environ["wsgi.input"].read(MAX_BODY_BYTES + 1)
     except OSError as error:
-        return Failure((400, Outcome.NOT_RUN, f"body is incomplete: {error}"))
+        return Failure((400, Outcome.NOT_RUN, f"body is not whole: {error}"))
     length = environ.get("CONTENT_LENGTH")
     if len(body) > MAX_BODY_BYTES:
         reason = f"body is over {MAX_BODY_BYTES} bytes"
         return Failure((413, Outcome.NOT_RUN, reason))
     if length and length.isdigit() and len(body) < int(length):
-        return Failure((400, Outcome.NOT_RUN, "body is incomplete"))
+        return Failure((400, Outcome.NOT_RUN, "body is not whole"))
     key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
     if len(key) > MAX_KEY_CHARACTERS:
         reason = f"Idempotency-Key is over {MAX_KEY_CHARACTERS} characters"
--- a/ibisshunt/components/requests/request_handler.py
+++ b/ibisshunt/components/requests/request_handler.py
@@ -73,7 +73,7 @@
         try:
             parts = task.get()
         except CallerDisconnectedError:
-            self._dispatcher.withdraw(attempt, "caller disconnected")
+            self._dispatcher.withdraw(attempt, "caller left")
             raise
         yield from parts
 
@@ -90,7 +90,7 @@
             return [last]
         if last.kind != ResponsePartKind.END:
             self._ledger_service.settle_unknown(request, attempt)
-            return [refuse(Outcome.UNKNOWN, "response is incomplete", 1.0)]
+            return [refuse(Outcome.UNKNOWN, "answer is not whole", 1.0)]
         self._ledger_service.settle_done(request, attempt, _make_stored_response(parts))
         return parts
 
@@ -147,7 +147,7 @@
         yield ResponsePart(ResponsePartKind.END)
         return
     if claim_outcome == ClaimOutcome.REPLAY:
-        reason = "the request has run; its response was too large to store"
+        reason = "the request has run; its answer was too large to keep"
         yield ResponsePart(ResponsePartKind.REFUSAL, 409, reason, outcome=Outcome.DONE)
         return
     if claim_outcome == ClaimOutcome.MISMATCH:
--- a/ibisshunt/components/requests/target_client.py
+++ b/ibisshunt/components/requests/target_client.py
@@ -109,7 +109,7 @@
     has_no_body = request.method == "HEAD" or response.status in (204, 304)
     is_delimited = "content-length" in response.headers or response.chunked
     if not (has_no_body or is_delimited):
-        yield refuse(Outcome.UNKNOWN, "target response has neither a length nor chunks")
+        yield refuse(Outcome.UNKNOWN, "the end of the target's answer can't be told")
         return
     headers = tuple(
         (name, value)
--- a/ibisshunt/components/versions/__init__.py
+++ b/ibisshunt/components/versions/__init__.py
@@ -79,7 +79,7 @@
         self, domain: str, is_drained: bool
     ) -> Result[DomainOutcome, Fault]:
         """Return once the log has drained or reopened a failure domain."""
-        if fault := self._find_refusal("change domain"):
+        if fault := self._find_refusal("order domain"):
             return Failure(fault)
         known_revision = self.state.domains.find_revision(domain)
         command = encode_domain_command(domain, is_drained, known_revision)
@@ -129,7 +129,7 @@
             return None
         # With fewer voters, the number of host losses that the fleet must survive could
         # lose accepted changes.
-        reason = f"found {len(voters)} voters, expected {self._required_voters}"
+        reason = f"{len(voters)} voters, {self._required_voters} wanted"
         return NotAccepted(step, "", reason)
 
 
--- a/ibisshunt/coordination/consensus/membership.py
+++ b/ibisshunt/coordination/consensus/membership.py
@@ -167,30 +167,30 @@
     if state.role is not Role.LEADER:
         return f"not the leader; the leader is {state.leader or 'unknown'}"
     if now < state.elected_at + state.settings.election_seconds:
-        return "the leader was elected just now and has not contacted the members yet"
+        return "the leader was elected just now and has yet to hear who is alive"
     if state.commit_index < state.noop_index:
-        return "the leader has not committed an entry of its term yet"
+        return "the leader has not committed an entry of its term"
     if state.log.membership_index > state.commit_index:
-        return "another membership change is in progress"
+        return "another change of membership is in progress"
     return ""
 
 
 def _find_join_error(state: HostState, host: str, now: float) -> str:
     for member in state.log.membership.members:
         if member.host == host:
-            return "the host is already a member"
+            return "the host is a member"
         if get_host_name(member.host) == get_host_name(host) and is_reachable(
             state, member.host, now
         ):
-            return f"a reachable host has the same name: {member.host}"
+            return f"a host of that name is alive as {member.host}"
     return ""
 
 
 def _find_removal_error(state: HostState, host: str, now: float) -> str:
     if host == state.host:
-        return "the leader cannot remove itself; transfer the leadership first"
+        return "the leader cannot remove itself; transfer the lead first"
     if find_member(state.log.membership, host) is None:
-        return "the host is not a member"
+        return "the host is no member"
     return _find_quorum_error(state, _drop_member(state.log.membership, host), now)
 
 
@@ -213,7 +213,7 @@
     reachable = sum(is_reachable(state, host, now) for host in voters)
     if reachable >= count_quorum(voters):
         return ""
-    return f"only {reachable} of {len(voters)} voters would be reachable"
+    return f"only {reachable} of {len(voters)} voters would answer"
 
 
 def _is_replaced(state: HostState, member: Member) -> bool:
--- a/ibisshunt/coordination/consensus/replication.py
+++ b/ibisshunt/coordination/consensus/replication.py
@@ -30,7 +30,7 @@
         state.outputs.refused.append(Refused(event.request_id, reason))
         return
     if state.transfer_target:
-        reason = f"leadership is being transferred to {state.transfer_target}"
+        reason = f"the lead is going over to {state.transfer_target}"
         state.outputs.refused.append(Refused(event.request_id, reason))
         return
     index = state.log.last_index + 1
--- a/ibisshunt/coordination/records/changes.py
+++ b/ibisshunt/coordination/records/changes.py
@@ -64,11 +64,9 @@
     if grant is None:
         return "denied: the token matches no grant"
     if change.kind in ADMIN_ONLY_KINDS:
-        return (
-            f"denied: only the administrator may change records of kind {change.kind}"
-        )
+        return f"denied: records of kind {change.kind} are the administrator's"
     if change.business != grant.business:
-        return f"denied: the token belongs to business {grant.business!r}"
+        return f"denied: the token is of business {grant.business!r}"
     return ""
 
 
--- a/ibisshunt/coordination/records/documents.py
+++ b/ibisshunt/coordination/records/documents.py
@@ -78,7 +78,7 @@
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     members = dict(pairs)
     if len(members) != len(pairs):
-        raise ValueError("duplicate key in one object")
+        raise ValueError("a key stands twice in one object")
     return members
 
 
--- a/ibisshunt/coordination/records/idempotency.py
+++ b/ibisshunt/coordination/records/idempotency.py
@@ -44,7 +44,7 @@
             return None
         if cached.digest == digest_request(command):
             return cached.outcome
-        error = f"operation id {command.operation!r} was used for another request"
+        error = f"operation {command.operation!r} was used for another request"
         results = tuple(
             ChangeResult(change.name, 0, error) for change in command.changes
         )
--- a/ibisshunt/coordination/records/targets.py
+++ b/ibisshunt/coordination/records/targets.py
@@ -80,5 +80,5 @@
         if old.name != announced.name or old.state != TargetState.READY:
             continue
         if not _is_replaced(old, announced):
-            return f"name {old.name!r} is in use by {old.announcement.packets}"
+            return f"name {old.name!r} is held by {old.announcement.packets}"
     return ""
--- a/ibisshunt/model/address.py
+++ b/ibisshunt/model/address.py
@@ -39,7 +39,7 @@
         reason = f"{ip!r} is not an IPv4 address"
         raise AddressError(Fault("parse address", "", reason)) from error
     if not port.isdigit() or int(port) > 65_535:
-        reason = f"{port!r} is not a port number from 0 to 65535"
+        reason = f"{port!r} is not a port 0-65535"
         raise AddressError(Fault("parse address", "", reason))
     return Address(ip, int(port))
 
--- a/ibisshunt/platform/configuration.py
+++ b/ibisshunt/platform/configuration.py
@@ -72,7 +72,7 @@
         if vip in routes:
             raise ValueError(
                 f"route {route.name}: {route.hostname}"
-                f"{route.path_prefix} is already used by route {routes[vip].name}"
+                f"{route.path_prefix} is taken by {routes[vip].name}"
             )
         routes[vip] = _make_route(route, services)
     warmup_rates = {
--- a/ibisshunt/platform/operator.py
+++ b/ibisshunt/platform/operator.py
@@ -66,7 +66,7 @@
         # A newer change overtook this delayed one. A rejection would make the operator
         # believe that the newer change is not in effect either.
         return make_error_reply(
-            STATUS_UNAVAILABLE, "a newer change of this failure domain was accepted"
+            STATUS_UNAVAILABLE, "a newer order for this domain was accepted"
         )
     return OK_REPLY
 
@@ -77,7 +77,5 @@
         return make_error_reply(STATUS_UNAVAILABLE, str(result.failure()))
     body = result.unwrap()
     if not body:
-        return make_error_reply(
-            STATUS_UNAVAILABLE, "no configuration has been accepted yet"
-        )
+        return make_error_reply(STATUS_UNAVAILABLE, "no configuration was accepted yet")
     return WebReply("200 OK", body)
--- a/ibisshunt/protocol/consensus.py
+++ b/ibisshunt/protocol/consensus.py
@@ -123,7 +123,7 @@
     """Decode an envelope; fail on an unknown kind or an invalid field."""
     kind = MESSAGE_TYPES.get(packed.kind)
     if kind is None:
-        reason = f"unknown message kind {packed.kind!r}"
+        reason = f"unknown kind {packed.kind!r}"
         return Failure(Fault("unpack envelope", packed.sender, reason))
     result = decode(packed.body, kind)
     if fault := result.swap().value_or(None):
--- a/ibisshunt/protocol/framed.py
+++ b/ibisshunt/protocol/framed.py
@@ -178,7 +178,7 @@
         try:
             return "", encode(handler(decoder.decode(request.body), None))
         except msgspec.DecodeError as error:
-            return f"malformed request: {error}", b""
+            return f"unreadable request: {error}", b""
 
 
 def set_socket_timeouts(connection: Any) -> None:
--- a/tests/coordination/records/test_targets.py
+++ b/tests/coordination/records/test_targets.py
@@ -34,7 +34,7 @@
     driver = start_marea()
     driver.apply(announce())
     assert (
-        "in use by 127.0.0.1:7001" in driver.apply(announce(session="s2", port=9)).error
+        "held by 127.0.0.1:7001" in driver.apply(announce(session="s2", port=9)).error
     )
     driver.apply(announce(leaving=True))
     assert driver.apply(announce(session="s2", port=9)).incarnation == 2
