--- a/examples/flow_proxy.py
+++ b/examples/flow_proxy.py
@@ -85,9 +85,9 @@
         """Route a packet; return the name of the target reached, or a reason."""
         pair, head = self.routers[router].route(packet, self.now)
         header, _ = read_datagram(head + packet).unwrap()
-        key, bits = scan_packet(packet)
+        key, packet_flags = scan_packet(packet)
         while True:
-            action = self.owners[pair].handle(header, key, bits, self.now)
+            action = self.owners[pair].handle(header, key, packet_flags, self.now)
             self.deliver_notices(self.owners[pair])
             if action.kind is not ActionKind.FORWARD:
                 delivered = action.kind is ActionKind.DELIVER
--- a/ibisshunt/components/agent/packets.py
+++ b/ibisshunt/components/agent/packets.py
@@ -92,8 +92,8 @@
             return
         if header.revision < self._revision:
             self._notify_stale_sender(header, sender, now)
-        key, bits = scan_packet(packet)
-        action = self._owner.handle(header, key, bits, now)
+        key, packet_flags = scan_packet(packet)
+        action = self._owner.handle(header, key, packet_flags, now)
         if action.kind == ActionKind.DELIVER:
             self._send(packet, self._tunnel)
             self._delivered += 1
--- a/ibisshunt/coordination/flows/__init__.py
+++ b/ibisshunt/coordination/flows/__init__.py
@@ -44,11 +44,11 @@
     ... )
     >>> address, header_bytes = router.route(syn, now=1000.0)
     >>> header, packet = read_datagram(header_bytes + syn).unwrap()
-    >>> key, bits = scan_packet(packet)
-    >>> action = agents[address].handle(header, key, bits, now=400.0)
+    >>> key, packet_flags = scan_packet(packet)
+    >>> action = agents[address].handle(header, key, packet_flags, now=400.0)
     >>> while action.kind == flows.ActionKind.FORWARD:
     ...     address = action.socket_address
-    ...     action = agents[address].handle(action.header, key, bits, now=400.0)
+    ...     action = agents[address].handle(action.header, key, packet_flags, now=400.0)
     >>> action.kind.name, agents[address].count()
     ('DELIVER', 1)
 
--- a/ibisshunt/coordination/flows/owner.py
+++ b/ibisshunt/coordination/flows/owner.py
@@ -41,7 +41,9 @@
         """Set whether to refuse new flows, whatever the table says."""
         self.state.is_leaving = leaving
 
-    def handle(self, header: Header, key: bytes, bits: int, now: float) -> Action:
+    def handle(
+        self, header: Header, key: bytes, packet_flags: int, now: float
+    ) -> Action:
         """Return the action for one packet."""
         state = self.state
         table = state.table
@@ -53,17 +55,17 @@
             return drop("wrong_service")
         if header.revision > table.revision:
             state.newer_revision = max(state.newer_revision, header.revision)
-        if key in state.flows and not self._is_port_reuse(key, bits):
-            return self._deliver(header, key, bits, now)
-        return self._handle_unknown(IncomingPacket(header, key, bits, now))
+        if key in state.flows and not self._is_port_reuse(key, packet_flags):
+            return self._deliver(header, key, packet_flags, now)
+        return self._handle_unknown(IncomingPacket(header, key, packet_flags, now))
 
-    def _is_port_reuse(self, key: bytes, bits: int) -> bool:
+    def _is_port_reuse(self, key: bytes, packet_flags: int) -> bool:
         """Return whether a SYN opens a new flow on the ports of a closing one.
 
         It applies only while this agent accepts no new flows; otherwise the owner of
         the closing flow accepts the new one as well. The closing flow is removed.
         """
-        if not bits & OPENS_FLOW or not bits & TCP:
+        if not packet_flags & OPENS_FLOW or not packet_flags & TCP:
             return False
         state = self.state
         if not state.flows.is_closing(key) or state.accepts_new_flows():
@@ -71,10 +73,12 @@
         state.flows.remove(key)
         return True
 
-    def _deliver(self, header: Header, key: bytes, bits: int, now: float) -> Action:
+    def _deliver(
+        self, header: Header, key: bytes, packet_flags: int, now: float
+    ) -> Action:
         state = self.state
-        if not bits & ICMP_ERROR:
-            state.flows.touch(key, bits, now, state.idle_seconds)
+        if not packet_flags & ICMP_ERROR:
+            state.flows.touch(key, packet_flags, now, state.idle_seconds)
         # The packet was forwarded along the chain: the first agent gets a pointer, so
         # that the next packet takes a single hop.
         if header.visited and not header.flags & BY_POINTER:
@@ -93,7 +97,7 @@
         if action is not None:
             return action
         packet = packet.with_header(flags=header.flags & ~BY_POINTER)
-        if packet.bits & OPENS_FLOW and not header.flags & KNOWN_ONLY:
+        if packet.packet_flags & OPENS_FLOW and not header.flags & KNOWN_ONLY:
             return open_flow(state, packet)
         return forward_or_adopt(state, packet)
 
--- a/ibisshunt/coordination/flows/router.py
+++ b/ibisshunt/coordination/flows/router.py
@@ -143,17 +143,21 @@
 
         Raise PacketError with the reason if the packet cannot be routed.
         """
-        key, bits = scan_packet(data)
+        key, packet_flags = scan_packet(data)
         route = self._addresses.get(key[0:1] + key[5:9] + key[11:13])
-        if route is None or bits & ICMP_ERROR or not route.is_caller_allowed(key[1:5]):
-            return self._route_known(key, bits, route, now)
+        if (
+            route is None
+            or packet_flags & ICMP_ERROR
+            or not route.is_caller_allowed(key[1:5])
+        ):
+            return self._route_known(key, packet_flags, route, now)
         index = route.table.find_first_index(find_bucket(key))
         if index == NO_TARGET_INDEX:
             raise PacketError(NO_TARGET)
         return route.packed_headers[index]
 
     def _route_known(
-        self, key: bytes, bits: int, route: _Route | None, now: float
+        self, key: bytes, packet_flags: int, route: _Route | None, now: float
     ) -> tuple[SocketAddress, bytes]:
         """Route a packet that may belong to an older flow but must not open one.
 
@@ -165,7 +169,7 @@
             reason = "unknown_service"
             former = self._former_addresses.get(key[0:1] + key[5:9] + key[11:13])
             route = self._routes.get(former.service) if former else None
-        if route is None or (bits & TCP and bits & OPENS_FLOW):
+        if route is None or (packet_flags & TCP and packet_flags & OPENS_FLOW):
             raise PacketError(reason)
         if not self._acquire_search(now):
             raise PacketError("search_limit")
--- a/ibisshunt/coordination/flows/state.py
+++ b/ibisshunt/coordination/flows/state.py
@@ -35,13 +35,13 @@
 
     header: Header
     key: bytes
-    bits: int
+    packet_flags: int
     now: float
 
     @property
     def is_tcp_syn(self) -> bool:
         """Return whether the packet is a TCP SYN."""
-        return bool(self.bits & OPENS_FLOW and self.bits & TCP)
+        return bool(self.packet_flags & OPENS_FLOW and self.packet_flags & TCP)
 
     def with_header(self, **changes: Any) -> "IncomingPacket":
         """Return the packet with changes to its header."""
@@ -154,7 +154,7 @@
         key, header = packet.key, packet.header
         if not self.flows.has_room():
             return refuse(packet)
-        self.flows.touch(key, packet.bits, packet.now, self.idle_seconds)
+        self.flows.touch(key, packet.packet_flags, packet.now, self.idle_seconds)
         if len(self.unreplicated_keys) < MAX_TRACKED_KEYS:
             self.unreplicated_keys.append(key)
         self.pointers.remove(key)
--- a/ibisshunt/coordination/flows/store.py
+++ b/ibisshunt/coordination/flows/store.py
@@ -66,7 +66,9 @@
         self.touch(key, 0, now, idle_seconds)
         self._states[key] |= _ADOPTED
 
-    def touch(self, key: bytes, bits: int, now: float, idle_seconds: float) -> None:
+    def touch(
+        self, key: bytes, packet_flags: int, now: float, idle_seconds: float
+    ) -> None:
         """Add a flow, or record a packet of it.
 
         After the caller's FIN a flow stays until its idle timeout: the target may
@@ -74,10 +76,10 @@
         """
         old = self._states.get(key, 0)
         closing = old & _CLOSING
-        if bits & (FIN | RST) and not closing:
+        if packet_flags & (FIN | RST) and not closing:
             closing = _CLOSING
             self.closing += 1
-        if bits & RST:
+        if packet_flags & RST:
             idle_seconds = min(idle_seconds, RESET_RETENTION_SECONDS)
         state = int(now + idle_seconds + 1) << _DEADLINE_SHIFT | closing
         if state != old:
--- a/ibisshunt/coordination/flows/unknown_flows.py
+++ b/ibisshunt/coordination/flows/unknown_flows.py
@@ -69,7 +69,7 @@
 
 def _is_adoptable(state: OwnerState, packet: IncomingPacket) -> bool:
     """Return whether the packet may belong to a flow lost by an agent's restart."""
-    if packet.header.flags & KNOWN_ONLY or packet.bits & ICMP_ERROR:
+    if packet.header.flags & KNOWN_ONLY or packet.packet_flags & ICMP_ERROR:
         return False
     return state.is_caller_allowed(packet.key[1:5])
 
--- a/ibisshunt/protocol/packet.py
+++ b/ibisshunt/protocol/packet.py
@@ -9,7 +9,7 @@
 from ..exceptions import Fault
 from ..model.flow import FlowKey, PacketInfo, Protocol
 
-# Properties of a packet that forwarding decisions use, as bits.
+# Packet flags: properties of a packet that forwarding decisions use, as bits.
 OPENS_FLOW: Final = 1
 FIN: Final = 2
 RST: Final = 4
@@ -35,15 +35,15 @@
 
 
 def _translate_tcp_flags(flags: int) -> int:
-    """Convert the flag byte of a TCP header to the bits above."""
-    bits = TCP
+    """Convert the flag byte of a TCP header to the packet flags above."""
+    packet_flags = TCP
     if flags & dpkt.tcp.TH_SYN and not flags & dpkt.tcp.TH_ACK:
-        bits |= OPENS_FLOW
+        packet_flags |= OPENS_FLOW
     if flags & dpkt.tcp.TH_FIN:
-        bits |= FIN
+        packet_flags |= FIN
     if flags & dpkt.tcp.TH_RST:
-        bits |= RST
-    return bits
+        packet_flags |= RST
+    return packet_flags
 
 
 # Precomputed, because the lookup is faster than three tests per packet.
@@ -55,7 +55,7 @@
 
 
 def scan_packet(data: bytes) -> tuple[bytes, int]:
-    """Return the flow key (13 bytes) and the bits of a packet from a caller.
+    """Return the flow key (13 bytes) and the packet flags of a caller's packet.
 
     The key holds protocol, caller address, service address, caller port and service
     port in network byte order. This is the hot path: it reads only the fields that
@@ -79,18 +79,20 @@
             or data[payload_start + 12] < 0x50
         ):
             raise PacketError("malformed")
-        bits = _TCP_BITS[data[payload_start + 13]]
+        packet_flags = _TCP_BITS[data[payload_start + 13]]
     elif protocol == Protocol.UDP:
         if not payload_start + UDP_HEADER_BYTES <= end <= size:
             raise PacketError("malformed")
-        bits = OPENS_FLOW
+        packet_flags = OPENS_FLOW
     elif protocol == Protocol.ICMP:
         return _scan_icmp(data, payload_start), ICMP_ERROR
     else:
         raise PacketError("protocol")
     if payload_start == IP_HEADER_BYTES:
-        return data[9:10] + data[12:24], bits
-    return data[9:10] + data[12:20] + data[payload_start : payload_start + 4], bits
+        return data[9:10] + data[12:24], packet_flags
+    return data[9:10] + data[12:20] + data[
+        payload_start : payload_start + 4
+    ], packet_flags
 
 
 def _parse_header_length(data: bytes) -> int:
@@ -142,11 +144,11 @@
 def read_packet(data: bytes) -> Result[PacketInfo, Fault]:
     """Parse a TCP or UDP packet; fail with the reason for any other packet."""
     try:
-        key, bits = scan_packet(data)
+        key, packet_flags = scan_packet(data)
         packet = dpkt.ip.IP(data)
     except (PacketError, dpkt.UnpackError) as error:
         return Failure(Fault("read packet", "", str(error) or "malformed"))
-    if bits & ICMP_ERROR:
+    if packet_flags & ICMP_ERROR:
         return Failure(Fault("read packet", "", "icmp"))
     if isinstance(packet.data, dpkt.udp.UDP):
         size = len(packet.data.data)
--- a/tests/coordination/flows/test_hazards.py
+++ b/tests/coordination/flows/test_hazards.py
@@ -193,9 +193,9 @@
     other = World(targets=1, number=2)
     agent = other.find_agent("t1")
     for packet in (make_tcp(SYN), make_tcp(ACK)):
-        key, bits = scan_packet(packet)
+        key, packet_flags = scan_packet(packet)
         header = Header(DatagramKind.PACKET, 0, world.service.number, 1, 1)
-        action = agent.handle(header, key, bits, world.now)
+        action = agent.handle(header, key, packet_flags, world.now)
         assert action.reason == "wrong_service"
     assert agent.count() == 0
 
--- a/tests/coordination/flows/test_store.py
+++ b/tests/coordination/flows/test_store.py
@@ -30,7 +30,7 @@
     """Compare with a map of deadlines; rounding to seconds may add up to one second."""
     store, deadlines, closing = FlowStore(100), {}, set()
     now = 100.0
-    for key, bits, elapsed in steps:
+    for key, packet_flags, elapsed in steps:
         now += elapsed
         sweep(store, now)
         for other in deadlines:
@@ -40,10 +40,10 @@
                 assert other in store
         deadlines = {flow: at for flow, at in deadlines.items() if flow in store}
         closing &= deadlines.keys()
-        store.touch(key, bits, now, 60.0)
-        idle = RESET_RETENTION_SECONDS if bits & RST else 60.0
+        store.touch(key, packet_flags, now, 60.0)
+        idle = RESET_RETENTION_SECONDS if packet_flags & RST else 60.0
         deadlines[key] = now + idle
-        if bits:
+        if packet_flags:
             closing.add(key)
         assert store.closing == len(closing)
         assert len(store) == len(deadlines)
--- a/tests/flow_world.py
+++ b/tests/flow_world.py
@@ -169,14 +169,14 @@
         return self.follow(address, header, packet)
 
     def follow(self, address, header, packet):
-        key, bits = scan_packet(packet)
+        key, packet_flags = scan_packet(packet)
         visits = []
         for _ in range(MAX_HOPS):
             if address not in self.agents or address in self.dead:
                 return Outcome(visits=tuple(visits), reason="lost")
             agent = self.agents[address]
             visits.append(address[1])
-            action = agent.handle(header, key, bits, self.now)
+            action = agent.handle(header, key, packet_flags, self.now)
             self._deliver_notices(agent)
             if action.kind != ActionKind.FORWARD:
                 return self._end(action, address, visits)
--- a/tests/protocol/test_packet.py
+++ b/tests/protocol/test_packet.py
@@ -55,9 +55,9 @@
     ],
 )
 def test_scan_returns_the_key_and_the_bits(flags, expected):
-    key, bits = scan_packet(make_tcp(flags))
+    key, packet_flags = scan_packet(make_tcp(flags))
     info = read_packet(make_tcp(flags)).unwrap()
-    assert bits == expected
+    assert packet_flags == expected
     assert unpack_key(key) == info.key
     assert pack_key(info.key) == key
     assert info.opens_flow == bool(expected & OPENS_FLOW)
@@ -69,8 +69,8 @@
 
 
 def test_each_udp_packet_may_open_a_flow():
-    key, bits = scan_packet(make_udp())
-    assert bits == OPENS_FLOW
+    key, packet_flags = scan_packet(make_udp())
+    assert packet_flags == OPENS_FLOW
     assert unpack_key(key).protocol == Protocol.UDP
     assert read_packet(make_udp(b"abc")).unwrap().payload_bytes == 3
 
@@ -80,8 +80,8 @@
     quoted[12:16], quoted[16:20] = SERVICE, CALLER
     quoted[20:22], quoted[22:24] = quoted[22:24], quoted[20:22]
     error = dpkt.icmp.ICMP(type=3, code=4, data=b"\0" * 4 + bytes(quoted[:28]))
-    key, bits = scan_packet(make_packet(error, 1))
-    assert bits == ICMP_ERROR
+    key, packet_flags = scan_packet(make_packet(error, 1))
+    assert packet_flags == ICMP_ERROR
     assert key == scan_packet(make_tcp(ACK))[0]
 
 
