--- a/ibisshunt/components/agent/packets.py
+++ b/ibisshunt/components/agent/packets.py
@@ -253,7 +253,7 @@
     def dump(self) -> dict[str, Any]:
         """Return the state for the dump."""
         return {
-            **self._owner.describe(),
+            **self._owner.dump(),
             **self._list_totals(),
             "refused": dict(self._refusals.totals),
         }
--- a/ibisshunt/components/balancer/packets.py
+++ b/ibisshunt/components/balancer/packets.py
@@ -108,7 +108,7 @@
     def dump(self) -> dict[str, Any]:
         """Return the state for the dump."""
         return {
-            **self._router.describe(),
+            **self._router.dump(),
             "forwarded": self._forwarded,
             "refused": dict(self._refusals.totals),
         }
--- a/ibisshunt/coordination/flows/owner.py
+++ b/ibisshunt/coordination/flows/owner.py
@@ -156,7 +156,7 @@
         """Return the number of flows owned here, closing ones included."""
         return len(self.state.flows)
 
-    def describe(self) -> dict[str, int]:
+    def dump(self) -> dict[str, int]:
         """Return the sizes of the state for the dump."""
         state = self.state
         return {
--- a/ibisshunt/coordination/flows/router.py
+++ b/ibisshunt/coordination/flows/router.py
@@ -185,7 +185,7 @@
         self._search_count += 1
         return self._search_count <= SEARCHES_PER_SECOND
 
-    def describe(self) -> dict[str, int]:
+    def dump(self) -> dict[str, int]:
         """Return the sizes of the state for the dump."""
         return {
             "services": len(self._routes),
