--- a/tests/helpers/test_prebound_sockets.py
+++ b/tests/helpers/test_prebound_sockets.py
@@ -46,7 +46,7 @@
         server.stop()
 
 
-def test_an_address_in_use_is_skipped():
+def test_an_address_in_use_is_left_to_its_user():
     # The program reports the error when it binds the address itself.
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
         other.bind((HOST, 0))
