--- a/tests/coordination/flows/test_properties.py
+++ b/tests/coordination/flows/test_properties.py
@@ -37,7 +37,7 @@
 class FlowMachine(RuleBasedStateMachine):
     """Packets of a flow reach the target that accepted it, whatever the nodes know.
 
-    Nodes get the changes at any time and in any order, and may skip revisions, but all
+    Nodes get the changes at any time and in any order, and may miss revisions, but all
     within the time in which configurations are applied. A target is removed only when
     it has no flow, as the control hosts do.
     """
